--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -274,8 +274,8 @@
 fn doubt_what_is_read(node: &Node, topic: Topic) {
     let (state, now) = (&mut *node.state.borrow_mut(), Instant::now());
     match topic {
-        Topic::Config => state.evacuations.store_went_back(now),
-        Topic::Upstreams => state.roster.store_went_back(now),
+        Topic::Config => state.evacuations.store_rolled_back(now),
+        Topic::Upstreams => state.roster.store_rolled_back(now),
     }
 }
 
@@ -345,7 +345,7 @@
     let since = Instant::now();
     let is_away = || {
         let state = node.state.borrow();
-        state.roster.store_is_away() && !state.is_behind(Topic::Config)
+        state.roster.store_is_unreachable() && !state.is_behind(Topic::Config)
     };
     wait_while(LOOK, || is_away() && since.elapsed() < WAIT_FOR_OTHER).await;
 }
@@ -416,7 +416,7 @@
 fn regained(node: &Node, topic: Topic, failures: u32) {
     if topic == Topic::Upstreams {
         let state = &mut *node.state.borrow_mut();
-        state.roster.store_answers(Instant::now());
+        state.roster.store_answered(Instant::now());
         state.list_is_own = true;
     }
     if failures > 0 {
--- a/crates/edge/src/follow/apply.rs
+++ b/crates/edge/src/follow/apply.rs
@@ -29,7 +29,7 @@
         }
         relay::Frame::Evacuated { up_to, newest, zones } => {
             seen(node, Topic::Config, up_to, newest);
-            change_evacuations(node, |evacuations| evacuations.adopt(zones));
+            change_evacuations(node, |evacuations| evacuations.adopt_snapshot(zones));
         }
         relay::Frame::Read { up_to, newest } => {
             seen(node, Topic::Upstreams, up_to, newest);
@@ -38,7 +38,7 @@
         relay::Frame::List { up_to, newest, entries } => {
             let entries = relay::entries(&entries)?;
             seen(node, Topic::Upstreams, up_to, newest);
-            let changes = node.state.borrow_mut().roster.adopt(entries, now);
+            let changes = node.state.borrow_mut().roster.adopt_snapshot(entries, now);
             apply_changes(node, &changes, now);
         }
         relay::Frame::Changes { up_to, newest, events } => {
@@ -65,7 +65,7 @@
     }
     match topic {
         Topic::Upstreams if whole => {
-            let changes = node.state.borrow_mut().roster.whole(rows, now);
+            let changes = node.state.borrow_mut().roster.apply_snapshot(rows, now);
             apply_changes(node, &changes, now);
         }
         Topic::Upstreams => apply_upstreams(node, rows, now),
@@ -78,7 +78,7 @@
     change_evacuations(node, |evacuations| match whole {
         true => {
             let is_listed = |(zone, listed): (place::Zone, bool)| listed.then_some(zone);
-            evacuations.whole(changes.into_iter().filter_map(is_listed).collect());
+            evacuations.apply_snapshot(changes.into_iter().filter_map(is_listed).collect());
         }
         false => {
             changes.into_iter().for_each(|(zone, evacuated)| evacuations.set(zone, evacuated));
@@ -148,7 +148,7 @@
         match change {
             // It crashed if it lost requests a moment ago; its address may have taken connections
             // again before anybody tried.
-            place::Change::Drop { upstream, why, .. } if *why == place::RESTARTED => {
+            place::Change::Drop { upstream, reason, .. } if *reason == place::RESTARTED => {
                 node.has_ended(upstream);
             }
             place::Change::Drop { .. } | place::Change::Put(_) => {}
@@ -158,14 +158,14 @@
             // An upstream that warms up is told of again and again.
             place::Change::Put(_) if known => {}
             place::Change::Put(entry) => listed.push(entry),
-            place::Change::Drop { upstream, service, addr, why } => {
+            place::Change::Drop { upstream, service, addr, reason } => {
                 node.conns.close(upstream);
                 trace::Line::new("upstream_dropped")
                     .field("upstream", upstream.id())
                     .field("born_ms", upstream.born_ms)
                     .field("service", service.as_str())
                     .field("addr", addr)
-                    .field("reason", why)
+                    .field("reason", reason)
                     .log();
             }
         }
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -194,7 +194,7 @@
     /// probes allows one.
     fn may_verify(&self, service: &ServiceName) -> bool {
         let pools = &self.state.borrow().pools;
-        let reports = pools.get(service).and_then(|pool| pool.reports()) == Some(true);
+        let reports = pools.get(service).and_then(|pool| pool.reports_load()) == Some(true);
         reports && self.take_probes(service, 1) == 1
     }
 
@@ -213,7 +213,7 @@
         let value = headers.get(&state.settings.headers.load);
         let load = value.and_then(|value| value.to_str().ok()).and_then(read);
         if let Some(pool) = state.pools.get_mut(service) {
-            pool.take_report(upstream, load, Instant::now());
+            pool.record_report(upstream, load, Instant::now());
         }
     }
 
@@ -229,7 +229,7 @@
         let cold_for = value.and_then(|value| value.to_str().ok()?.parse().ok());
         let cold_for = cold_for.filter(|ms| *ms > 0).map(Duration::from_millis);
         if let Some(pool) = state.pools.get_mut(service) {
-            pool.take_cold(upstream, cold_for.map(|time| time.min(COLD_MOST)), now);
+            pool.set_cold_for(upstream, cold_for.map(|time| time.min(COLD_MOST)), now);
         }
     }
 
@@ -280,7 +280,7 @@
             return Reply::Own(Own::not_run(COME_BACK_ELSEWHERE, "this node is stopping"));
         }
         let tried_for = stated.map_or(Duration::ZERO, |stated| {
-            self.state.borrow_mut().attempts.tried_for(&route.name, stated)
+            self.state.borrow_mut().attempts.retrying_for(&route.name, stated)
         });
         let body_start = body.received().clone();
         let service = self.next_service(route);
--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use place::{Candidate, Incarnation, Reach, Verdict};
+use place::{Candidate, ConnectionPlan, Decision, Incarnation};
 use rand::Rng;
 
 use super::call::{Call, Choice, NoChoice};
@@ -69,11 +69,13 @@
                 best = self.apart(call, &ranked).unwrap_or(best);
             }
             match self.judge(call, best, may_look) {
-                Verdict::Send => {
+                Decision::Send => {
                     return self.choice(call, best).ok_or_else(|| self.no_upstream(call));
                 }
-                Verdict::Refuse { come_back } => return Err(self.refusal(call, best, come_back)),
-                Verdict::Wait(pause) => monoio::time::sleep(pause).await,
+                Decision::Refuse { retry_after } => {
+                    return Err(self.refusal(call, best, retry_after))
+                }
+                Decision::Wait(pause) => monoio::time::sleep(pause).await,
             }
             looks += 1;
             ranked = self.ask_and_rank(call, tried, 1, 0).await;
@@ -101,12 +103,12 @@
         ranked
     }
 
-    fn judge(&self, call: &Call<'_>, best: &Candidate, looks: Option<u32>) -> Verdict {
-        let room = place::Room {
+    fn judge(&self, call: &Call<'_>, best: &Candidate, rechecks: Option<u32>) -> Decision {
+        let room = place::AdmissionRequest {
             deadline_left: call.left(),
             objective_left: call.objective_left(),
             most_urgent: call.most_urgent,
-            looks,
+            rechecks,
         };
         place::admit(best, room, &mut self.state.borrow_mut().rng)
     }
@@ -115,17 +117,20 @@
     fn choice(&self, call: &Call<'_>, best: &Candidate) -> Option<Choice> {
         let state = &mut *self.state.borrow_mut();
         let pool = state.pools.get_mut(&call.service)?;
-        pool.chosen(best);
+        pool.record_chosen(best);
         let upstream = pool.upstreams().get(best.index)?;
         let report = upstream.report(Instant::now());
-        let at_its_best = |(load, _): (place::Load, _)| load.is_not_slowed() && load.has_room();
+        let at_its_best =
+            |(load, _): (place::Load, _)| load.is_at_usual_speed() && load.has_free_slot();
         Some(Choice {
             upstream: upstream.incarnation.clone(),
             addr: upstream.addr,
             far: upstream.zone != state.settings.zone,
-            predicted: best.prediction.took,
+            predicted: best.prediction.latency,
             report_age: report.map(|(_, age)| age),
-            unhindered: best.fresh && !best.prediction.crowded && report.is_some_and(at_its_best),
+            unhindered: best.has_fresh_report
+                && !best.prediction.nearly_full
+                && report.is_some_and(at_its_best),
         })
     }
 
@@ -139,8 +144,8 @@
         NoChoice::Refused {
             come_back,
             best: upstream.incarnation.clone(),
-            predicted: best.prediction.took,
-            wait: best.prediction.wait,
+            predicted: best.prediction.latency,
+            wait: best.prediction.queue_time,
             report_age: upstream.report(Instant::now()).map(|(_, age)| age),
         }
     }
@@ -171,14 +176,14 @@
         state.deal_limits(now);
         let Some(pool) = state.pools.get(&call.service) else { return Vec::new() };
         let homes = state.settings.home_zones(&call.route.homes);
-        let ask = place::Ask {
+        let ask = place::SelectionCriteria {
             policy: state.settings.policy,
-            work: state.works.of(&call.route.name, call.route.objective),
+            work: state.works.work(&call.route.name, call.route.objective),
             objective_left: call.objective_left(),
             zone: &state.settings.zone,
             cross_zone_cost: state.settings.cross_zone_cost_per_kib
                 * state.works.size_kib(&call.route.name),
-            homes: homes.as_ref(),
+            allowed_zones: homes.as_ref(),
             warm_up: state.warm_up(&call.service, now),
             tried,
             repeatable: call.repeatable(),
@@ -189,18 +194,18 @@
         let most = service.map_or(u32::MAX, |service| service.max_connections);
         let share = (most / state.fleet_size() as u32).max(CONNECTIONS_LEAST);
         let carries = state.first_sends_per_s(&call.service, now) * RESTS_FOR.as_secs_f64()
-            / pool.compared() as f64;
+            / pool.compared_count() as f64;
         let notices = &state.notices;
         let may_send = |upstream: &Incarnation| {
             notices.is_empty() || notices.may_send(start_of(upstream), now)
         };
         let reach = |upstream: &Incarnation| match self.conns.open_count(upstream) {
-            _ if !may_send(upstream) => Reach::Not,
-            0 => Reach::New,
-            _ if self.conns.has(upstream) => Reach::Kept,
-            open if open < share && carries >= CARRIES_LEAST => Reach::New,
-            open if open < share => Reach::NewBeside,
-            _ => Reach::Not,
+            _ if !may_send(upstream) => ConnectionPlan::Unavailable,
+            0 => ConnectionPlan::Open,
+            _ if self.conns.has(upstream) => ConnectionPlan::Reuse,
+            open if open < share && carries >= CARRIES_LEAST => ConnectionPlan::Open,
+            open if open < share => ConnectionPlan::OpenAdditional,
+            _ => ConnectionPlan::Unavailable,
         };
         pool.rank(ask, reach, now, &mut state.rng)
     }
@@ -211,10 +216,10 @@
             let state = self.state.borrow();
             match state.pools.get(&call.service) {
                 Some(pool)
-                    if pool.reports() != Some(false)
+                    if pool.reports_load() != Some(false)
                         && state.settings.policy == place::Policy::Reports =>
                 {
-                    pool.to_ask(ranked, ASK_AT_ONCE, most_new)
+                    pool.probe_targets(ranked, ASK_AT_ONCE, most_new)
                         .into_iter()
                         .map(|index| pool.upstreams()[index].incarnation.clone())
                         .collect()
--- a/crates/edge/src/forward/held.rs
+++ b/crates/edge/src/forward/held.rs
@@ -86,7 +86,7 @@
         let upstreams = state.pools.get(&call.service)?.upstreams();
         let starts: Vec<Start> = upstreams.iter().map(|u| start_of(&u.incarnation)).collect();
         let most = call.left().min(call.objective_left().max(call.route.objective));
-        let in_time = ranked.iter().filter(|candidate| candidate.prediction.took <= most);
+        let in_time = ranked.iter().filter(|candidate| candidate.prediction.latency <= most);
         let in_time = in_time.map(|candidate| candidate.index);
         let chosen = state.quarantine.choose_apart(call.content(), &starts, in_time)?;
         ranked.iter().find(|candidate| candidate.index == chosen)
--- a/crates/edge/src/forward/send.rs
+++ b/crates/edge/src/forward/send.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, StatusCode};
-use place::End;
+use place::RequestOutcome;
 use web::h1;
 
 use super::call::{Call, Choice, SendMade};
@@ -60,7 +60,7 @@
                     .field("upstream", choice.upstream.id())
                     .field("error", err.to_string())
                     .log();
-                counted.end(End::Failed);
+                counted.end(RequestOutcome::Failed);
                 return Outcome::NotSent;
             }
         };
@@ -89,12 +89,14 @@
         }
         self.learn(call, choice, &outcome, sent_at.elapsed());
         counted.end(match &outcome {
-            Outcome::Answered(answer) if answer.head.status.is_server_error() => End::Failed,
-            Outcome::Answered(_) => End::Answered,
-            Outcome::NotRun(..) => End::Refused,
-            Outcome::NotSent => End::Failed,
-            Outcome::Lost(exchange::CALLER_LEFT) => End::GivenUp,
-            Outcome::Lost(_) => End::Failed,
+            Outcome::Answered(answer) if answer.head.status.is_server_error() => {
+                RequestOutcome::Failed
+            }
+            Outcome::Answered(_) => RequestOutcome::Answered,
+            Outcome::NotRun(..) => RequestOutcome::Refused,
+            Outcome::NotSent => RequestOutcome::Failed,
+            Outcome::Lost(exchange::CALLER_LEFT) => RequestOutcome::Cancelled,
+            Outcome::Lost(_) => RequestOutcome::Failed,
         });
         if matches!(outcome, Outcome::Lost(why) if exchange::ends_connection(why)) {
             self.lost(call, choice, known, sent_at.elapsed()).await;
@@ -148,7 +150,7 @@
     fn learn_work(&self, call: &Call<'_>, choice: &Choice, answer: &Answer, took: Duration) {
         let now = Instant::now();
         let state = &mut *self.state.borrow_mut();
-        state.works.sample_size(&call.route.name, call.body_start.len() + answer.known_bytes());
+        state.works.record_size(&call.route.name, call.body_start.len() + answer.known_bytes());
         if !choice.unhindered {
             return;
         }
@@ -156,11 +158,11 @@
         let still_unhindered = pool
             .position(&choice.upstream)
             .and_then(|index| pool.upstreams()[index].report(now))
-            .is_some_and(|(load, _)| load.is_not_slowed());
+            .is_some_and(|(load, _)| load.is_at_usual_speed());
         if still_unhindered {
             let ratio = took.as_secs_f64() / choice.predicted.as_secs_f64().max(0.001);
-            pool.took_ratio(&choice.upstream, ratio, now);
-            state.works.sample(&call.route.name, call.route.objective, took);
+            pool.record_latency_ratio(&choice.upstream, ratio, now);
+            state.works.record_work(&call.route.name, call.route.objective, took);
         }
     }
 }
--- a/crates/edge/src/forward/sends.rs
+++ b/crates/edge/src/forward/sends.rs
@@ -216,7 +216,7 @@
             return;
         }
         if let Some(pool) = self.state.borrow_mut().pools.get_mut(&call.service) {
-            pool.took_ratio(&choice.upstream, factor, Instant::now());
+            pool.record_latency_ratio(&choice.upstream, factor, Instant::now());
         }
     }
 
--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -155,7 +155,7 @@
 
 /// Returns true when this node is the one that writes findings and waits for an operator's word.
 fn is_keeper(state: &State) -> bool {
-    record::is_recorder(state, Duration::ZERO) && !state.roster.store_is_away()
+    record::is_recorder(state, Duration::ZERO) && !state.roster.store_is_unreachable()
 }
 
 /// Returns true when a node that was restarted must read what is kept, since it is the one that keeps
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -109,7 +109,7 @@
         self.config_version.record(state.config_version(), &[]);
         self.upstreams.record(state.roster.len() as u64, &[]);
         self.peers_alive.record(alive.count() as u64, &[]);
-        self.store_away.record(u64::from(state.roster.store_is_away()), &[]);
+        self.store_away.record(u64::from(state.roster.store_is_unreachable()), &[]);
         self.held_back.record(state.quarantine.held().count() as u64, &[]);
         let now = Instant::now();
         let unsure = |topic| u64::from(!state.is_sure(topic, now));
--- a/crates/edge/src/probe.rs
+++ b/crates/edge/src/probe.rs
@@ -107,7 +107,7 @@
                 .field("error", err.to_string())
                 .log();
             if let Some(pool) = node.state.borrow_mut().pools.get_mut(service) {
-                pool.unreachable(upstream, Instant::now());
+                pool.record_connect_failure(upstream, Instant::now());
             }
             return;
         }
--- a/crates/edge/src/readers.rs
+++ b/crates/edge/src/readers.rs
@@ -195,7 +195,7 @@
         |addr: &SocketAddr| *addr != me && avoided.get(addr).is_none_or(|until| *until <= now);
     let candidates: Vec<SocketAddr> = match state.is_in_step() {
         // The platform does not answer a node that has nothing yet: any peer helps that serves.
-        false if state.roster.store_away_for(now) >= AWAY_FOR_NEWCOMER => {
+        false if state.roster.store_unreachable_for(now) >= AWAY_FOR_NEWCOMER => {
             let serving = state.peers.iter().filter(|(_, peer)| peer.config_head > 0);
             let serving: Vec<SocketAddr> = serving.map(|(addr, _)| *addr).filter(usable).collect();
             let seeds = state.settings.seed_addrs.iter().copied().filter(usable);
@@ -213,7 +213,7 @@
         true => {
             let by_zone = readers(state);
             let is_reader = by_zone.values().any(|addrs| addrs.contains(&me));
-            let away = state.roster.store_away_for(now) >= AWAY_FOR;
+            let away = state.roster.store_unreachable_for(now) >= AWAY_FOR;
             let all = || by_zone.values().flatten().copied().filter(usable).collect();
             let own = by_zone.get(&state.settings.zone).into_iter().flatten();
             let own: Vec<SocketAddr> = own.copied().filter(usable).collect();
--- a/crates/edge/src/record.rs
+++ b/crates/edge/src/record.rs
@@ -143,7 +143,7 @@
     let state = node.state.borrow();
     let Step { before, table, noted_at, at_unix_ms } = state.unrecorded.steps.first()?.clone();
     let due_for = noted_at.elapsed().checked_sub(SETTLED)?;
-    if !is_recorder(&state, due_for) || state.roster.store_is_away() {
+    if !is_recorder(&state, due_for) || state.roster.store_is_unreachable() {
         return None;
     }
     let text = |table: &Rc<Table>| table.to_text();
--- a/crates/edge/src/relay/frame.rs
+++ b/crates/edge/src/relay/frame.rs
@@ -41,7 +41,7 @@
 impl Greeting {
     pub(super) fn of(state: &State, was_referred: bool) -> Greeting {
         let holds_nothing = !state.is_in_step();
-        let nothing_else = state.settings.first_start || state.roster.store_is_away();
+        let nothing_else = state.settings.first_start || state.roster.store_is_unreachable();
         let takes_anything = holds_nothing && nothing_else;
         Greeting {
             peer_addr: state.settings.peer_addr,
--- a/crates/edge/src/relay/serve.rs
+++ b/crates/edge/src/relay/serve.rs
@@ -77,7 +77,7 @@
 fn may_pass_on(state: &State, greeting: &Greeting) -> bool {
     let current = state.is_sure_of_all(Instant::now())
         && state.reaches_platform
-        && !state.roster.store_is_away()
+        && !state.roster.store_is_unreachable()
         && !state.roster.keeps_unlisted();
     let enough = state.config_seen.up_to >= greeting.config_newest
         && state.list_seen.up_to >= greeting.list_newest;
@@ -92,7 +92,8 @@
         // It reads the platform sooner than this node, which has just started too.
         true => greeting.was_referred,
         false => {
-            greeting.takes_anything || (state.reaches_platform && !state.roster.store_is_away())
+            greeting.takes_anything
+                || (state.reaches_platform && !state.roster.store_is_unreachable())
         }
     }
 }
--- a/crates/edge/src/relay/subscribe.rs
+++ b/crates/edge/src/relay/subscribe.rs
@@ -82,7 +82,7 @@
                 let search_is_over = fed_until.elapsed() > readers::switch_within(&state);
                 if ended == Ended::Moved {
                     // Whether the platform answers is found out anew.
-                    state.roster.store_unknown();
+                    state.roster.reset_store_state();
                     continue;
                 }
                 if let Ended::Referred(peer) = ended {
@@ -285,7 +285,7 @@
             continue;
         }
         let me_first = readers::is_reader(&state, state.settings.peer_addr);
-        let turned_away = state.roster.store_is_away() && since.elapsed() < TRY_AGAIN;
+        let turned_away = state.roster.store_is_unreachable() && since.elapsed() < TRY_AGAIN;
         let nothing_else = !state.is_ready() || since.elapsed() < TRY_AGAIN;
         let other = !readers::is_reader(&state, peer) && !nothing_else;
         if (me_first && !turned_away) || other {
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use place::{End, Incarnation};
+use place::{Incarnation, RequestOutcome};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use route::{RouteName, ServiceName};
@@ -172,9 +172,9 @@
     /// Upstreams by service, as they were found to be.
     pub pools: HashMap<ServiceName, place::Pool>,
     /// What each kind of request takes.
-    pub works: place::Works,
+    pub works: place::WorkEstimates,
     /// Deadlines that callers state, by kind of request.
-    pub attempts: place::Attempts,
+    pub attempts: place::RetryDetector,
     /// Upstreams that ended of late, and the requests that were under way there.
     pub ends: quarantine::Ends,
     /// Requests that crash upstreams.
@@ -230,8 +230,8 @@
             roster: place::Roster::default(),
             evacuations: place::Evacuations::default(),
             pools: HashMap::new(),
-            works: place::Works::default(),
-            attempts: place::Attempts::default(),
+            works: place::WorkEstimates::default(),
+            attempts: place::RetryDetector::default(),
             ends: quarantine::Ends::default(),
             quarantine: quarantine::Ledger::default(),
             notices: notice::Board::of_node(node_seed),
@@ -296,8 +296,12 @@
     /// Returns what the cold upstreams of a service bear.
     pub fn warm_up(&self, service: &str, now: Instant) -> Option<place::WarmUp> {
         let service = self.table.as_ref()?.services.get(service)?;
-        let (nodes, since) = (self.nodes_sending(now), self.started_at);
-        service.warm_up_per_s.map(|per_s| place::WarmUp { per_s, nodes, since })
+        let (node_count, since) = (self.nodes_sending(now), self.started_at);
+        service.warm_up_per_s.map(|requests_per_s| place::WarmUp {
+            requests_per_s,
+            node_count,
+            since,
+        })
     }
 
     /// Returns what was seen of a topic.
@@ -383,8 +387,8 @@
                 self.notices.nodes_changed();
                 let (seed, zones) = (self.node_seed, self.evacuations.zones());
                 let new_pool = || {
-                    let mut pool = place::Pool::of_node(seed);
-                    pool.evacuate(zones, now);
+                    let mut pool = place::Pool::with_node_seed(seed);
+                    pool.set_evacuated_zones(zones, now);
                     pool
                 };
                 self.pools.entry(service.clone()).or_insert_with(new_pool).put(entry, now);
@@ -411,7 +415,7 @@
         let news: Vec<(place::Zone, bool)> = news.collect();
         if !news.is_empty() {
             let (zones, now) = (self.evacuations.zones(), Instant::now());
-            self.pools.values_mut().for_each(|pool| pool.evacuate(zones, now));
+            self.pools.values_mut().for_each(|pool| pool.set_evacuated_zones(zones, now));
         }
         news
     }
@@ -485,21 +489,21 @@
     state: Shared,
     service: ServiceName,
     upstream: Incarnation,
-    end: End,
+    end: RequestOutcome,
 }
 
 impl Outstanding {
     /// Counts a request as sent.
     pub fn start(state: &Shared, service: &ServiceName, upstream: &Incarnation) -> Outstanding {
         if let Some(pool) = state.borrow_mut().pools.get_mut(service) {
-            pool.sent(upstream);
+            pool.record_sent(upstream);
         }
         let (service, upstream) = (service.clone(), upstream.clone());
-        Outstanding { state: state.clone(), service, upstream, end: End::GivenUp }
+        Outstanding { state: state.clone(), service, upstream, end: RequestOutcome::Cancelled }
     }
 
     /// Records how it ended.
-    pub fn end(mut self, end: End) {
+    pub fn end(mut self, end: RequestOutcome) {
         self.end = end;
     }
 }
@@ -507,7 +511,7 @@
 impl Drop for Outstanding {
     fn drop(&mut self) {
         if let Some(pool) = self.state.borrow_mut().pools.get_mut(&self.service) {
-            pool.ended(&self.upstream, self.end, Instant::now());
+            pool.record_outcome(&self.upstream, self.end, Instant::now());
         }
     }
 }
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -139,7 +139,7 @@
                 Some(peer) => Reads::Peer(peer),
                 None => Reads::Nothing,
             },
-            store_away_ms: as_ms(state.roster.store_away_for(now)),
+            store_away_ms: as_ms(state.roster.store_unreachable_for(now)),
             in_flight: state.in_flight,
             peers: state.peers.iter().map(peer).collect(),
             evacuated: state.evacuations.zones().iter().cloned().collect(),
--- a/crates/edge/src/tests/beliefs.rs
+++ b/crates/edge/src/tests/beliefs.rs
@@ -131,13 +131,13 @@
     state.apply_table(table(7, ClientLimits::default()));
     for name in ["/get/", "/gone/"] {
         state.turns.entry(name.into()).or_default();
-        state.works.sample(&name.into(), ms(300), ms(10));
+        state.works.record_work(&name.into(), ms(300), ms(10));
     }
     state.apply_table(table(8, ClientLimits::default()));
     assert_eq!(state.turns.keys().collect::<Vec<_>>(), ["/get/"]);
-    let guess = place::Works::default().of("", ms(300));
-    assert_eq!(state.works.of("/gone/", ms(300)), guess);
-    assert_ne!(state.works.of("/get/", ms(300)), guess);
+    let guess = place::WorkEstimates::default().work("", ms(300));
+    assert_eq!(state.works.work("/gone/", ms(300)), guess);
+    assert_ne!(state.works.work("/get/", ms(300)), guess);
 }
 
 /// Symptom: every change of one topic makes all nodes ask for the other topic too.
@@ -252,7 +252,7 @@
     let entry = state.roster.entries().next().expect("an entry").clone();
     state.apply_change(&place::Change::Put(entry), now);
     let load = place::Load { running: 2, waiting: 1, slots: 4, slowness: 3.0 };
-    state.pools.get_mut("desk").expect("a pool").take_report(&up("u0"), Some(load), now);
+    state.pools.get_mut("desk").expect("a pool").record_report(&up("u0"), Some(load), now);
     (state.direct, state.reads_through) = (false, Some(addr(1)));
     let status = crate::status::Status::of(&state, now + ms(30));
     let json = serde_json::to_value(&status).expect("encodes");
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -435,7 +435,7 @@
             let pool = state.pools.get_mut("desk").expect("a pool");
             let upstream = pool.upstreams()[index].incarnation.clone();
             let load = place::Load { running: 0, waiting: 0, slots: SLOTS as u32, slowness };
-            pool.take_report(&upstream, Some(load), Instant::now());
+            pool.record_report(&upstream, Some(load), Instant::now());
         }
         let mut callers = Vec::new();
         for path in paths {
@@ -469,7 +469,7 @@
             let state = &mut *node.state.borrow_mut();
             let pool = state.pools.get_mut("desk").expect("a pool");
             let upstream = pool.upstreams()[0].incarnation.clone();
-            pool.take_report(&upstream, Some(load), Instant::now());
+            pool.record_report(&upstream, Some(load), Instant::now());
         }
         let mut caller = Caller::connect(cluster.fronts[0]).await;
         caller.write(&get("/get/crash", "1")).await;
--- a/crates/edge/src/tests/idle.rs
+++ b/crates/edge/src/tests/idle.rs
@@ -12,7 +12,7 @@
         state.settings.probes_per_upstream_s = 50.0;
         let load = place::Load { running: 0, waiting: 0, slots: 4, slowness: 1.0 };
         let pool = state.pools.get_mut("desk").expect("a pool");
-        pool.take_report(&up("u0"), Some(load), Instant::now());
+        pool.record_report(&up("u0"), Some(load), Instant::now());
     }
     let got = Caller::connect(entered.addr).await.ask(&post("1")).await;
     assert_eq!(got.status, 200);
--- a/crates/edge/src/tests/leaving.rs
+++ b/crates/edge/src/tests/leaving.rs
@@ -124,7 +124,7 @@
             service: "desk".into(),
             upstream: up("u0"),
             addr: one.addr,
-            why: "unlisted",
+            reason: "unlisted",
         };
         entered.node.state.borrow_mut().apply_change(&drop, Instant::now());
         list(&entered, &one, BORN_MS);
--- a/crates/edge/src/tests/pipelining.rs
+++ b/crates/edge/src/tests/pipelining.rs
@@ -25,7 +25,7 @@
     let load = place::Load { running, waiting: 0, slots, slowness: 1.0 };
     let state = &mut *entered.node.state.borrow_mut();
     let pool = state.pools.get_mut("desk").expect("a pool");
-    pool.take_report(&up("u0"), Some(load), Instant::now());
+    pool.record_report(&up("u0"), Some(load), Instant::now());
 }
 
 /// An answer whose body is the request's id, which must have four characters.
--- a/crates/edge/src/tests/relay.rs
+++ b/crates/edge/src/tests/relay.rs
@@ -39,7 +39,7 @@
     assert_eq!(readers::choose(&mut state, &HashMap::new(), false, now + ms(500)), Way::Direct);
     let later = now + ms(1_500);
     assert_eq!(readers::choose(&mut state, &HashMap::new(), false, later), Way::Via(addr(3)));
-    state.roster.store_unknown();
+    state.roster.reset_store_state();
     assert_eq!(readers::choose(&mut state, &HashMap::new(), false, later), Way::Direct);
 }
 
@@ -203,7 +203,7 @@
             let mut state = reader.state.borrow_mut();
             let now = Instant::now();
             state.roster.store_lost(now);
-            state.roster.store_answers(now);
+            state.roster.store_answered(now);
             state.roster.apply(vec![place::Event::Gone("u1".into())], now);
             assert!(state.roster.keeps_unlisted());
         }
--- a/crates/place/src/admit.rs
+++ b/crates/place/src/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request is sent, waits at the node, or is refused at once.
+//! Admission control: whether a request is sent, waits at the node, or is refused at once.
 
 use std::time::Duration;
 
@@ -6,119 +6,134 @@
 
 use crate::pool::Candidate;
 
-/// Shortest time after which a caller that was refused for want of room is told to come back.
-const COME_BACK_LEAST: Duration = Duration::from_millis(50);
+/// Minimum retry delay given to a caller that is refused for lack of capacity.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Part of the time left that a refused caller is told to wait at most: it
-/// must still be served afterwards.
-const COME_BACK_PART: f64 = 0.3;
+/// Maximum retry delay, as a ratio of the time left until the deadline: the request must still be
+/// served after it.
+const MAX_RETRY_AFTER_RATIO: f64 = 0.3;
 
-/// Parts of the time left after which a caller comes back whose objective has passed: in no hurry,
-/// it leaves the next moments to those who can still be in time.
-const COME_BACK_LATE: std::ops::Range<f64> = 0.15..COME_BACK_PART;
+/// Range of the retry delay of a request whose objective has passed, as ratios of the time left
+/// until the deadline. Such a request is no longer urgent, so it leaves the slots that become free
+/// next to requests that can still be in time.
+const LATE_RETRY_AFTER_RATIOS: std::ops::Range<f64> = 0.15..MAX_RETRY_AFTER_RATIO;
 
-/// Share of a deadline that a prediction may take up: predictions are means.
-const DEADLINE_PART: f64 = 0.9;
+/// Maximum predicted latency as a ratio of the time left until the deadline. It is below 1 because
+/// predictions are means.
+const MAX_DEADLINE_RATIO: f64 = 0.9;
 
-/// Share of the time left of its objective that a less urgent request may be predicted to take
-/// where it has to queue. Predictions are means, and a queue grows while it is served: let in up to
-/// its whole objective, half of them are late, and the urgent requests behind them too.
-const OBJECTIVE_PART: f64 = 0.9;
+/// Maximum predicted latency of a less urgent request that has to queue, as a ratio of the time
+/// left of its objective. Predictions are means, and a queue grows while it is served: at a ratio
+/// of 1, half of these requests would be late, and the urgent requests behind them too.
+const MAX_OBJECTIVE_RATIO: f64 = 0.9;
 
 /// The same for the most urgent requests of a service. They too are refused once they would be
-/// late: queues of theirs alone make all of them late just as well.
-const OBJECTIVE_PART_URGENT: f64 = 1.0;
+/// late: a queue of only urgent requests makes all of them late just as well.
+const MAX_OBJECTIVE_RATIO_MOST_URGENT: f64 = 1.0;
 
-/// Queueing for which a request waits at the node, as a part of the time that it takes itself.
-/// Shorter queues, as at upstreams of many slots, are over before it would have looked again: at
-/// sixteen slots a tenth here serves 0.72 of a burst in time, a fifth 0.91. A request that would be
-/// late is refused at any queue: with this bound there too, slots that become free go to requests
-/// that are late already (0.017 of the worth of days of high load).
-const WAITS_FROM: f64 = 0.2;
+/// Minimum predicted queueing time for which a request waits at the node, as a ratio of its service
+/// time. Shorter queues, as at upstreams with many slots, are over before the request would check
+/// again: at sixteen slots, 0.1 serves 0.72 of a burst in time and 0.2 serves 0.91. A request that
+/// would be late is refused whatever the queue: applying this minimum there too would give free
+/// slots to requests that are already late (a loss of 0.017 of the total value on days of high
+/// load).
+const MIN_QUEUE_RATIO: f64 = 0.2;
 
-/// How long a request waits at the node before it looks for room again, as a part of what it takes
-/// itself. Where a dozen slots are busy, one of them becomes free in about that time.
-const LOOK_PART: f64 = 0.08;
+/// Interval between two checks of a waiting request, as a ratio of its service time. With a dozen
+/// busy slots, one becomes free in about that time.
+const RECHECK_INTERVAL_RATIO: f64 = 0.08;
 
-/// The same, at the least and at the most: each look costs a few questions to upstreams.
-const LOOK_WITHIN: (Duration, Duration) = (Duration::from_millis(3), Duration::from_millis(20));
+/// Minimum and maximum of that interval: each check costs a few probes of upstreams.
+const RECHECK_INTERVAL_LIMITS: (Duration, Duration) =
+    (Duration::from_millis(3), Duration::from_millis(20));
 
-/// Times that a request looks again at most. It then has waited for twice the time that it takes.
-const LOOKS_MOST: u32 = 24;
+/// Maximum number of checks; by then the request has waited for twice its service time.
+const MAX_RECHECKS: u32 = 24;
 
-/// Time that a request keeps of its objective while it waits, as a factor of what it is predicted to
-/// take without a queue.
-const KEEPS: f64 = 1.1;
+/// Minimum time left of its objective for a request to wait, as a ratio of its predicted latency
+/// without a queue.
+const MIN_OBJECTIVE_LEFT_RATIO: f64 = 1.1;
 
-/// What a request still has, and how urgent it is.
+/// The time left and the urgency of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct AdmissionRequest {
     /// Time until its caller or its route gives up.
     pub deadline_left: Duration,
-    /// Time within which its answer is worth most, as its caller counts it.
+    /// Time left of its latency objective, counted from the caller's first attempt.
     pub objective_left: Duration,
     /// Whether no other request to the service is more urgent.
     pub most_urgent: bool,
-    /// How often it has looked for room before; `None` when it must not wait.
-    pub looks: Option<u32>,
+    /// Number of earlier checks while it waited at the node; `None` if it must not wait.
+    pub rechecks: Option<u32>,
 }
 
-/// What becomes of a request.
+/// What to do with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
-    /// It is sent to the candidate.
+pub enum Decision {
+    /// Send it to the candidate.
     Send,
-    /// It waits this long at the node and looks again.
+    /// Keep it at the node for this long, then rank the upstreams and decide again.
     Wait(Duration),
-    /// It is refused; its caller may come back after this long.
+    /// Refuse it.
     Refuse {
-        /// When to come back.
-        come_back: Duration,
+        /// Time after which its caller should retry.
+        retry_after: Duration,
     },
 }
 
-/// Decides on a request whose best upstream is `best`.
+/// Decides whether to send, hold or refuse a request whose best upstream is `best`.
 ///
-/// The load pattern: more requests come than there are slots for. Every queue fills, all requests
-/// of all kinds become late together, and the work that is done is worth nothing.
+/// The load pattern: more requests arrive than there are slots. All queues fill, requests of every
+/// kind become late together, and the work that is done is worth nothing.
 ///
-/// Where every upstream has a queue, a request waits at the node as long as it can still be in
-/// time: in an upstream's queue it would be bound to that upstream, whose machine may be slow when
-/// its turn comes, while here it takes whichever slot is free first. What would miss its
-/// deadline or its objective in a queue is refused at once, so that the slots serve what can be in
-/// time. A request that is late only because every machine is slow is let in: refusing it would
-/// free no slot for others. One whose objective has passed, and whose deadline will have, is not:
-/// nobody would get its answer.
-pub fn admit<R: Rng>(best: &Candidate, room: Room, rng: &mut R) -> Verdict {
-    let took = best.prediction.took;
-    let own = took - best.prediction.wait;
-    let part = if room.most_urgent { OBJECTIVE_PART_URGENT } else { OBJECTIVE_PART };
-    let look_again = own.mul_f64(LOOK_PART).clamp(LOOK_WITHIN.0, LOOK_WITHIN.1);
-    let may_wait = best.prediction.wait > own.mul_f64(WAITS_FROM)
-        && room.looks.is_some_and(|looks| looks < LOOKS_MOST)
-        && room.objective_left >= own.mul_f64(KEEPS) + look_again;
-    let is_lost = room.objective_left.is_zero() && took > room.deadline_left;
+/// If every upstream has a queue, a request waits at the node as long as it can still be in time.
+/// In an upstream's queue it would be bound to that upstream, whose machine may be slow when its
+/// turn comes; at the node it takes whichever slot becomes free first. A request that would miss
+/// its deadline or its objective in a queue is refused at once, so that the slots serve requests
+/// that can be in time. A request that is late only because every machine is slow is sent: refusing
+/// it would free no slot for others. It is refused if its objective has passed and its deadline
+/// will have passed too, because nobody would receive the response.
+pub fn admit<R: Rng>(best: &Candidate, request: AdmissionRequest, rng: &mut R) -> Decision {
+    let latency = best.prediction.latency;
+    let service_time = latency - best.prediction.queue_time;
+    let max_ratio =
+        if request.most_urgent { MAX_OBJECTIVE_RATIO_MOST_URGENT } else { MAX_OBJECTIVE_RATIO };
+    let recheck_interval = service_time
+        .mul_f64(RECHECK_INTERVAL_RATIO)
+        .clamp(RECHECK_INTERVAL_LIMITS.0, RECHECK_INTERVAL_LIMITS.1);
+    let may_wait = best.prediction.queue_time > service_time.mul_f64(MIN_QUEUE_RATIO)
+        && request.rechecks.is_some_and(|rechecks| rechecks < MAX_RECHECKS)
+        && request.objective_left
+            >= service_time.mul_f64(MIN_OBJECTIVE_LEFT_RATIO) + recheck_interval;
+    let is_lost = request.objective_left.is_zero() && latency > request.deadline_left;
     match () {
-        () if best.prediction.wait.is_zero() && !is_lost => Verdict::Send,
-        () if may_wait => Verdict::Wait(look_again),
-        () if took > room.deadline_left.mul_f64(DEADLINE_PART) => refuse(best, room, rng),
-        () if took > room.objective_left.mul_f64(part) => refuse(best, room, rng),
-        () => Verdict::Send,
+        () if best.prediction.queue_time.is_zero() && !is_lost => Decision::Send,
+        () if may_wait => Decision::Wait(recheck_interval),
+        () if latency > request.deadline_left.mul_f64(MAX_DEADLINE_RATIO) => {
+            refuse(best, request, rng)
+        }
+        () if latency > request.objective_left.mul_f64(max_ratio) => refuse(best, request, rng),
+        () => Decision::Send,
     }
 }
 
-/// Spreads the returns of refused callers over the time that the queue takes
-/// to empty: callers told the same moment would all come back in it.
-fn refuse<R: Rng>(best: &Candidate, room: Room, rng: &mut R) -> Verdict {
-    let come_back = match room.objective_left.is_zero() {
-        true => room.deadline_left.mul_f64(rng.random_range(COME_BACK_LATE)).max(COME_BACK_LEAST),
+/// Refuses a request with a randomized retry delay.
+///
+/// The delays spread the retries over the time that the queue takes to empty: with a common delay
+/// all refused callers would come back at the same moment.
+fn refuse<R: Rng>(best: &Candidate, request: AdmissionRequest, rng: &mut R) -> Decision {
+    let retry_after = match request.objective_left.is_zero() {
+        true => request
+            .deadline_left
+            .mul_f64(rng.random_range(LATE_RETRY_AFTER_RATIOS))
+            .max(MIN_RETRY_AFTER),
         false => {
-            let most = room.deadline_left.mul_f64(COME_BACK_PART).max(COME_BACK_LEAST);
+            let max = request.deadline_left.mul_f64(MAX_RETRY_AFTER_RATIO).max(MIN_RETRY_AFTER);
             let spread = rng.random_range(0.5..1.5);
-            best.prediction.wait.mul_f64(spread).clamp(COME_BACK_LEAST, most)
+            best.prediction.queue_time.mul_f64(spread).clamp(MIN_RETRY_AFTER, max)
         }
     };
-    Verdict::Refuse { come_back }
+    Decision::Refuse { retry_after }
 }
 
 #[cfg(test)]
--- a/crates/place/src/evacuations.rs
+++ b/crates/place/src/evacuations.rs
@@ -1,26 +1,27 @@
-//! Availability zones whose upstreams are to get nothing, by an operator's word.
+//! Availability zones that an operator has evacuated.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
 
 use smol_str::SmolStr;
 
-use crate::roster::KEEP_AFTER_OUTAGE;
+use crate::roster::UNLISTED_TTL_AFTER_OUTAGE;
 
 /// Name of an availability zone.
 pub type Zone = SmolStr;
 
-/// The evacuated zones.
+/// The evacuated zones, whose upstreams get no requests.
 ///
-/// A store that comes back from an older copy may list an evacuation that was taken back since, or lack
-/// one that was begun: until its writer has had the time to write again, what this node knew stands.
+/// A store that was restored from an older copy may list an evacuation that has been lifted since,
+/// or lack one that was started. What this node knew stays in force until the writer has had time
+/// to write again.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     zones: BTreeSet<Zone>,
-    /// Zones that were evacuated once, and are not any more.
-    taken_back: BTreeSet<Zone>,
-    /// What the store listed when it was back from an older copy, and from when on that counts.
-    doubted: Option<(BTreeSet<Zone>, Instant)>,
+    /// Zones that were evacuated earlier and no longer are.
+    restored: BTreeSet<Zone>,
+    /// Zones listed by a store that was rolled back, and when that list comes into force.
+    pending: Option<(BTreeSet<Zone>, Instant)>,
 }
 
 impl Evacuations {
@@ -29,19 +30,19 @@
         &self.zones
     }
 
-    /// Returns true while the upstreams of a zone are to get nothing.
+    /// Returns true if the upstreams of `zone` must get no requests.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
 
-    /// Takes one change: the zone is evacuated from now on, or no longer.
+    /// Applies one change read from the store: `zone` is evacuated, or no longer.
     pub fn set(&mut self, zone: Zone, is_evacuated: bool) {
         match is_evacuated {
-            true => self.taken_back.remove(&zone),
-            false => self.taken_back.insert(zone.clone()),
+            true => self.restored.remove(&zone),
+            false => self.restored.insert(zone.clone()),
         };
-        let doubted = self.doubted.iter_mut().map(|(zones, _)| zones);
-        for zones in doubted.chain([&mut self.zones]) {
+        let pending = self.pending.iter_mut().map(|(zones, _)| zones);
+        for zones in pending.chain([&mut self.zones]) {
             match is_evacuated {
                 true => zones.insert(zone.clone()),
                 false => zones.remove(&zone),
@@ -49,45 +50,46 @@
         }
     }
 
-    /// Takes all zones that the store lists.
-    pub fn whole(&mut self, listed: BTreeSet<Zone>) {
-        match &mut self.doubted {
-            Some((doubted, _)) => {
-                // One that this node has not seen taken back cannot be an older one.
-                self.zones.extend(listed.difference(&self.taken_back).cloned());
-                *doubted = listed;
+    /// Applies the complete list of evacuated zones read from the store.
+    pub fn apply_snapshot(&mut self, listed: BTreeSet<Zone>) {
+        match &mut self.pending {
+            Some((pending, _)) => {
+                // A listed zone whose evacuation this node has not seen lifted cannot be out of
+                // date.
+                self.zones.extend(listed.difference(&self.restored).cloned());
+                *pending = listed;
             }
-            None => self.list(listed),
+            None => self.replace(listed),
         }
     }
 
-    fn list(&mut self, zones: BTreeSet<Zone>) {
-        self.taken_back.extend(self.zones.difference(&zones).cloned());
-        self.taken_back.retain(|zone| !zones.contains(zone));
+    fn replace(&mut self, zones: BTreeSet<Zone>) {
+        self.restored.extend(self.zones.difference(&zones).cloned());
+        self.restored.retain(|zone| !zones.contains(zone));
         self.zones = zones;
     }
 
-    /// Takes the zones as another node holds them: that node has decided what counts.
-    pub fn adopt(&mut self, zones: BTreeSet<Zone>) {
-        self.doubted = None;
-        self.list(zones);
+    /// Adopts the zones held by another node, which has already decided what is in force.
+    pub fn adopt_snapshot(&mut self, zones: BTreeSet<Zone>) {
+        self.pending = None;
+        self.replace(zones);
     }
 
-    /// Records that the store is back from an older copy; what it lists is taken by
-    /// [`Evacuations::whole`] and [`Evacuations::set`].
-    pub fn store_went_back(&mut self, now: Instant) {
-        self.doubted = Some((self.zones.clone(), now + KEEP_AFTER_OUTAGE));
+    /// Records that the store was restored from an older copy. What it lists then is passed to
+    /// [`Evacuations::apply_snapshot`] and [`Evacuations::set`].
+    pub fn store_rolled_back(&mut self, now: Instant) {
+        self.pending = Some((self.zones.clone(), now + UNLISTED_TTL_AFTER_OUTAGE));
     }
 
-    /// Returns true once [`Evacuations::expire`] has something to do.
+    /// Returns true if [`Evacuations::expire`] has something to do.
     pub fn is_due(&self, now: Instant) -> bool {
-        self.doubted.as_ref().is_some_and(|(_, counts_at)| *counts_at <= now)
+        self.pending.as_ref().is_some_and(|(_, effective_at)| *effective_at <= now)
     }
 
-    /// Has what the store lists count once its writers have had the time to write again.
+    /// Puts the list of a rolled-back store in force once its writers have had time to write again.
     pub fn expire(&mut self, now: Instant) {
-        if let Some((zones, _)) = self.doubted.take_if(|(_, counts_at)| *counts_at <= now) {
-            self.list(zones);
+        if let Some((zones, _)) = self.pending.take_if(|(_, effective_at)| *effective_at <= now) {
+            self.replace(zones);
         }
     }
 }
--- a/crates/place/src/evacuations/tests.rs
+++ b/crates/place/src/evacuations/tests.rs
@@ -1,15 +1,15 @@
 use std::time::{Duration, Instant};
 
-use super::{Evacuations, KEEP_AFTER_OUTAGE};
+use super::{Evacuations, UNLISTED_TTL_AFTER_OUTAGE};
 
-const MOMENT: Duration = Duration::from_millis(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
 
 fn zones(evacuations: &Evacuations) -> Vec<&str> {
     evacuations.zones().iter().map(|zone| zone.as_str()).collect()
 }
 
 #[test]
-fn a_zone_is_evacuated_until_it_is_taken_back() {
+fn a_zone_is_evacuated_until_it_is_restored() {
     let mut evacuations = Evacuations::default();
     evacuations.set("a".into(), true);
     evacuations.set("a".into(), true);
@@ -18,45 +18,43 @@
     evacuations.set("a".into(), false);
     evacuations.set("c".into(), false);
     assert!(!evacuations.is_evacuated("a") && evacuations.is_evacuated("b"));
-    evacuations.whole(["c".into()].into());
+    evacuations.apply_snapshot(["c".into()].into());
     assert_eq!(zones(&evacuations), ["c"]);
 }
 
-/// Symptom: requests reach a zone that was evacuated, or none reach one whose evacuation was taken back.
-/// Sequence: the store comes back from a copy that is some seconds old; the evacuation was begun, or
-/// taken back, since that copy was made; it is written again a second later.
-/// Cause: taking the older list for news.
+/// Guards against sending requests to an evacuated zone, or none to a restored one, after the store
+/// was rolled back to a copy that is some seconds old: an evacuation that was started or lifted
+/// since the copy was made is written again a second later.
 #[test]
-fn an_older_copy_changes_nothing_until_it_could_be_written_again() {
+fn an_older_list_is_not_in_force_while_writers_may_write_again() {
     let now = Instant::now();
     let mut evacuations = Evacuations::default();
-    evacuations.set("taken-back-since".into(), true);
-    evacuations.whole(["begun-since".into()].into());
-    evacuations.store_went_back(now);
-    evacuations.whole(["new".into(), "taken-back-since".into()].into());
-    evacuations.expire(now + KEEP_AFTER_OUTAGE - MOMENT);
-    assert_eq!(zones(&evacuations), ["begun-since", "new"]);
+    evacuations.set("restored-since".into(), true);
+    evacuations.apply_snapshot(["evacuated-since".into()].into());
+    evacuations.store_rolled_back(now);
+    evacuations.apply_snapshot(["new".into(), "restored-since".into()].into());
+    evacuations.expire(now + UNLISTED_TTL_AFTER_OUTAGE - MILLISECOND);
+    assert_eq!(zones(&evacuations), ["evacuated-since", "new"]);
     evacuations.set("new".into(), false);
 
-    evacuations.set("begun-since".into(), true);
-    evacuations.set("taken-back-since".into(), false);
-    evacuations.expire(now + KEEP_AFTER_OUTAGE);
-    assert_eq!(zones(&evacuations), ["begun-since"]);
+    evacuations.set("evacuated-since".into(), true);
+    evacuations.set("restored-since".into(), false);
+    evacuations.expire(now + UNLISTED_TTL_AFTER_OUTAGE);
+    assert_eq!(zones(&evacuations), ["evacuated-since"]);
 }
 
-/// Symptom: a zone stays evacuated for ever, or never is.
-/// Sequence: as above, and nobody writes again.
-/// Cause: never believing what the store lists.
+/// Guards against never applying the list of a rolled-back store: if nobody writes again, it is in
+/// force after a delay.
 #[test]
-fn an_older_copy_counts_once_nobody_has_written_again() {
+fn an_older_list_is_in_force_if_nobody_writes_again() {
     let now = Instant::now();
     let mut evacuations = Evacuations::default();
-    evacuations.set("taken-back-since".into(), true);
-    evacuations.set("taken-back-since".into(), false);
-    evacuations.set("begun-since".into(), true);
-    evacuations.store_went_back(now);
-    evacuations.whole(["taken-back-since".into()].into());
-    assert_eq!(zones(&evacuations), ["begun-since"]);
-    evacuations.expire(now + KEEP_AFTER_OUTAGE);
-    assert_eq!(zones(&evacuations), ["taken-back-since"]);
+    evacuations.set("restored-since".into(), true);
+    evacuations.set("restored-since".into(), false);
+    evacuations.set("evacuated-since".into(), true);
+    evacuations.store_rolled_back(now);
+    evacuations.apply_snapshot(["restored-since".into()].into());
+    assert_eq!(zones(&evacuations), ["evacuated-since"]);
+    evacuations.expire(now + UNLISTED_TTL_AFTER_OUTAGE);
+    assert_eq!(zones(&evacuations), ["restored-since"]);
 }
--- a/crates/place/src/incarnation.rs
+++ b/crates/place/src/incarnation.rs
@@ -1,29 +1,30 @@
-//! One start of an upstream, told apart from its earlier and later ones.
+//! Identity of one start of an upstream.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Id of an upstream. It may keep its id when it starts again.
+/// Id of an upstream, which may stay the same across restarts.
 pub type UpstreamId = SmolStr;
 
 /// One start of an upstream.
 ///
-/// What was learned of an upstream before it started again (its load, its failures, the requests
-/// under way there, its connections) says nothing of it afterwards. Kept by id alone it would
-/// keep requests from an upstream that is well, or count answers of the earlier start for the
-/// later one. All such knowledge is therefore kept by incarnation.
+/// What was learned about an upstream before a restart (its load, its failures, the requests in
+/// flight, its connections) says nothing about it afterwards. If it were kept by id alone, it would
+/// keep requests from a healthy upstream, or attribute responses of the earlier start to the later
+/// one. All such state is therefore kept by incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
     /// Id.
     pub id: UpstreamId,
-    /// Unix time of the start in milliseconds, by the upstream's own clock; 0 when it does not say.
+    /// Unix time of the start in milliseconds, by the upstream's own clock; 0 if it does not report
+    /// it.
     pub born_ms: u64,
 }
 
 impl Incarnation {
-    /// Returns the id alone, which upstreams and logs know.
+    /// Returns the id without the start time, as upstreams and logs use it.
     pub fn id(&self) -> &str {
         &self.id
     }
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -7,144 +7,146 @@
 
 use rand::Rng;
 
-use crate::health::Standing;
-use crate::upstream::{Load, Prediction, Upstream, Usual};
-use crate::warm_up::{Turn, WarmUp, DOUBTED_FOR};
-use crate::{End, Entry, Incarnation, Zone};
+use crate::health::HealthState;
+use crate::upstream::{Load, Prediction, TypicalLoad, Upstream};
+use crate::warm_up::{WarmUp, Window, ASSUMED_COLD_TTL};
+use crate::{Entry, Incarnation, RequestOutcome, Zone};
 
-/// A report of this age or younger is not worth asking for again: the answer
-/// would come back about as old.
-const FRESH: Duration = Duration::from_millis(40);
+/// Maximum age of a fresh report. A probe for a newer one is not worth it: its response would be
+/// about as old on arrival.
+const MAX_FRESH_REPORT_AGE: Duration = Duration::from_millis(40);
 
-/// Part of the objective that a request may take without any risk of missing it.
-const SAFE_PART: f64 = 0.55;
+/// Ratio of predicted latency to objective up to which the objective is taken to be met for sure.
+const SAFE_OBJECTIVE_RATIO: f64 = 0.55;
 
-/// Part of the objective from which on a request is taken to miss it.
-const LOST_PART: f64 = 1.15;
+/// Ratio of predicted latency to objective from which the objective is taken to be missed for sure.
+const MISSED_OBJECTIVE_RATIO: f64 = 1.15;
 
-/// Cost up to which a fresh candidate of the own zone is good enough not to ask others.
-const GOOD_ENOUGH: f64 = 0.25;
+/// Cost below which no probes are sent if the best candidate is in the own zone and has a fresh
+/// report.
+const MAX_COST_WITHOUT_PROBE: f64 = 0.25;
 
-/// What a new connection costs, as a share of a request's worth.
-const NEW_CONNECTION: f64 = 0.06;
+/// Cost of a new connection, as a share of the value of a request.
+const NEW_CONNECTION_COST: f64 = 0.06;
 
-/// What it costs more while requests wait there: an upstream whose queue is
-/// long takes fewer connections and resets the rest.
-const NEW_CONNECTION_AT_A_QUEUE: f64 = 0.3;
+/// Additional cost of a new connection while requests wait at the upstream: an upstream with a long
+/// queue accepts fewer connections and resets the rest.
+const NEW_CONNECTION_COST_QUEUED: f64 = 0.3;
 
-/// What a full upstream costs beyond its prediction: evens the load out.
-const FULLNESS: f64 = 0.03;
+/// Cost of each unit of utilization beyond its effect on the prediction; it evens out the load.
+const UTILIZATION_COST: f64 = 0.03;
 
-/// Random part of a cost, so that entry nodes that see the same do not all go the same way.
-const CHANCE: f64 = 0.01;
+/// Maximum random cost. It keeps entry nodes that have the same information from all choosing the
+/// same upstream.
+const MAX_RANDOM_COST: f64 = 0.01;
 
 /// Weight of the newest report in the mean slowness.
 const SLOWNESS_WEIGHT: f64 = 0.02;
 
-/// Weight of the newest report in the mean fullness: a node with ten reports a
-/// second follows a burst within about two seconds.
-const FULLNESS_WEIGHT: f64 = 0.05;
+/// Weight of the newest report in the mean utilization: a node that gets ten reports a second
+/// follows a burst within about two seconds.
+const UTILIZATION_WEIGHT: f64 = 0.05;
 
-/// What upstreams are taken to be like before any report. Those of a service that never reports
-/// stay empty but for the node's own requests, so that these alone tell them apart.
-const USUAL_FIRST: Usual = Usual { slowness: 1.5, fullness: 0.0 };
+/// Load assumed of upstreams before any report. Upstreams of a service that never reports are
+/// assumed to be empty except for the node's own requests, so that only these tell them apart.
+const INITIAL_TYPICAL_LOAD: TypicalLoad = TypicalLoad { slowness: 1.5, utilization: 0.0 };
 
-/// Upstreams of the own zone, and of others, that a node compares for a request.
+/// Maximum numbers of upstreams in the own zone and in other zones that are compared for a request.
 ///
-/// A node that sends three requests a second to two hundred upstreams meets
-/// each once a minute: it knows nothing of it and has no connection left. With
-/// a dozen it meets each every few seconds. What a request costs the node
-/// does not grow with the size of a service either.
-const OWN_ZONE_MOST: usize = 12;
-const OTHER_ZONES_MOST: usize = 6;
+/// A node that sends three requests a second to two hundred upstreams uses each once a minute: it
+/// knows nothing of their load and has no open connection to them. With a dozen it uses each every
+/// few seconds. The limits also keep the cost of a request at the node independent of the size of
+/// the service.
+const MAX_OWN_ZONE_COMPARED: usize = 12;
+const MAX_OTHER_ZONES_COMPARED: usize = 6;
 
-/// When all of these are this costly, as many more are compared.
-const WIDEN_FROM: f64 = 0.6;
+/// Minimum cost of all compared upstreams from which as many more are compared.
+const MIN_WIDENING_COST: f64 = 0.6;
 
 /// How a node gets a request to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
-    /// On a connection that it has kept.
-    Kept,
-    /// On a new connection.
-    New,
-    /// On a new connection beside those in use.
-    NewBeside,
-    /// Not at all: its share of the upstream's connections is in use.
-    Not,
+pub enum ConnectionPlan {
+    /// Over an idle connection that it has kept open.
+    Reuse,
+    /// Over a new connection.
+    Open,
+    /// Over a new connection in addition to connections that are in use.
+    OpenAdditional,
+    /// Not at all, for example because its share of the upstream's connections is in use.
+    Unavailable,
 }
 
-/// How an upstream is chosen.
+/// Load balancing policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// By the least expected cost, from fresh reports.
+    /// The least expected cost according to fresh load reports.
     #[default]
     Reports,
-    /// Each in turn; a baseline to measure against.
+    /// Each upstream in turn; a baseline for measurements.
     RoundRobin,
-    /// The one with the fewest requests of this node; a baseline to measure against.
+    /// The upstream with the fewest requests of this node; a baseline for measurements.
     LeastOutstanding,
 }
 
-/// What a request asks of the choice.
+/// Criteria for choosing an upstream for a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    /// How to choose.
+pub struct SelectionCriteria<'a> {
+    /// Load balancing policy.
     pub policy: Policy,
-    /// Work that it takes at an upstream that is not slowed.
+    /// Time that the request takes at an upstream that is not slowed.
     pub work: Duration,
-    /// Time left within which its answer is worth most.
+    /// Time left of its latency objective.
     pub objective_left: Duration,
     /// Zone of the entry node.
     pub zone: &'a str,
-    /// What sending it to another zone costs, as a share of its worth.
+    /// Cost of sending it to another zone, as a share of its value.
     pub cross_zone_cost: f64,
-    /// Zones whose upstreams may run it; `None` where all may.
-    pub homes: Option<&'a BTreeSet<Zone>>,
-    /// What cold upstreams bear; `None` where they bear as much as others.
+    /// Zones whose upstreams may run it; `None` if all may.
+    pub allowed_zones: Option<&'a BTreeSet<Zone>>,
+    /// Limit for cold upstreams; `None` if they can take as much as others.
     pub warm_up: Option<WarmUp>,
-    /// Upstreams that were tried already.
+    /// Upstreams that it was already sent to.
     pub tried: &'a [Incarnation],
-    /// Whether a failure can be mended by sending it again.
+    /// Whether it may be sent again after a failure.
     pub repeatable: bool,
 }
 
-/// One upstream that a request could go to.
+/// An upstream that a request could be sent to.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Index in the pool, until the pool changes.
+    /// Index in the pool, valid until the pool changes.
     pub index: usize,
-    /// Expected cost as a share of the request's worth; the least is best.
+    /// Expected cost as a share of the value of the request; lower is better.
     pub cost: f64,
-    /// How long the request would take.
+    /// Predicted latency of the request.
     pub prediction: Prediction,
-    /// Whether its report is recent.
-    pub fresh: bool,
+    /// Whether its load report is recent.
+    pub has_fresh_report: bool,
     /// Whether it is in the node's own zone.
-    near: bool,
-    reach: Reach,
-    standing: Standing,
-    /// The turn that the request uses up, at an upstream that is cold.
-    turn: Option<Turn>,
+    in_own_zone: bool,
+    connection: ConnectionPlan,
+    health: HealthState,
+    /// The warm-up window that the request uses, if the upstream may be cold.
+    window: Option<Window>,
 }
 
-/// It is not this node's turn at an upstream that is cold.
-struct NotNow;
+/// This node does not hold the current warm-up window of an upstream that may be cold.
+struct NoWindow;
 
 /// The upstreams of one service.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// In the order in which this node prefers them; see [`Pool::of_node`].
+    /// In the order in which this node prefers them; see [`Pool::with_node_seed`].
     upstreams: Vec<Upstream>,
-    /// Who orders: a number of the node's own.
+    /// Number specific to this node that determines the order.
     node_seed: u64,
-    usual: Usual,
-    /// Whether upstreams of this service report their load; `None` before any answered.
-    reports: Option<bool>,
-    /// Zones whose upstreams get nothing.
+    typical_load: TypicalLoad,
+    /// Whether upstreams of this service report their load; `None` before the first response.
+    reports_load: Option<bool>,
+    /// Zones whose upstreams get no requests.
     evacuated: BTreeSet<Zone>,
-    /// Next upstream in turn, for [`Policy::RoundRobin`].
-    turn: Cell<usize>,
+    /// Number of rankings so far under [`Policy::RoundRobin`].
+    rotation: Cell<usize>,
 }
 
 impl Default for Pool {
@@ -152,20 +154,21 @@
         Pool {
             upstreams: Vec::new(),
             node_seed: 0,
-            usual: USUAL_FIRST,
-            reports: None,
+            typical_load: INITIAL_TYPICAL_LOAD,
+            reports_load: None,
             evacuated: BTreeSet::new(),
-            turn: Cell::new(0),
+            rotation: Cell::new(0),
         }
     }
 }
 
 impl Pool {
-    /// Creates the pool of the node with this number.
+    /// Creates an empty pool; `node_seed` is a number specific to the node.
     ///
-    /// Each node prefers the upstreams in an order of its own, by a hash of its number and their
-    /// ids: all nodes together spread over all upstreams, and one that comes or goes moves few.
-    pub fn of_node(node_seed: u64) -> Pool {
+    /// Each node prefers the upstreams in an order of its own, by a hash of its seed and their ids.
+    /// All nodes together spread over all upstreams, and an upstream that is added or removed
+    /// changes the set compared by a node only slightly.
+    pub fn with_node_seed(node_seed: u64) -> Pool {
         Pool { node_seed, ..Pool::default() }
     }
 
@@ -175,7 +178,7 @@
         hasher.finish()
     }
 
-    /// Adds an upstream or takes what changed about it.
+    /// Adds an upstream, or updates its address and warm-up.
     pub fn put(&mut self, entry: &Entry, now: Instant) {
         let incarnation = entry.incarnation();
         let index = match self.position(&incarnation) {
@@ -195,176 +198,199 @@
         upstream.cold_until = (!entry.cold_for.is_zero()).then(|| now + entry.cold_for);
     }
 
-    /// Takes which zones are evacuated: their upstreams stay in the pool and get nothing. Those of a
-    /// zone that was evacuated until now may have become cold.
-    pub fn evacuate(&mut self, zones: &BTreeSet<Zone>, now: Instant) {
+    /// Sets the evacuated zones. Their upstreams stay in the pool and get no requests. The
+    /// upstreams of a zone that is no longer evacuated are treated as cold for a while, as they may
+    /// have become so.
+    pub fn set_evacuated_zones(&mut self, zones: &BTreeSet<Zone>, now: Instant) {
         let is_restored = |zone: &Zone| self.evacuated.contains(zone) && !zones.contains(zone);
         for upstream in self.upstreams.iter_mut().filter(|u| is_restored(&u.zone)) {
-            upstream.doubted_until = Some(now + DOUBTED_FOR);
+            upstream.assumed_cold_until = Some(now + ASSUMED_COLD_TTL);
         }
         self.evacuated = zones.clone();
     }
 
-    /// Returns the upstreams that may get requests, with their places in the pool.
+    /// Returns the upstreams outside evacuated zones, with their indices in the pool.
     fn in_service(&self) -> impl Iterator<Item = (usize, &Upstream)> {
         let upstreams = self.upstreams.iter().enumerate();
         upstreams.filter(|(_, upstream)| !self.evacuated.contains(&upstream.zone))
     }
 
-    /// Returns how many upstreams may get requests.
+    /// Returns the number of upstreams outside evacuated zones.
     pub fn in_service_count(&self) -> usize {
         self.in_service().count()
     }
 
-    /// Drops an upstream: it gets no further request.
+    /// Removes an upstream; it gets no further requests.
     pub fn remove(&mut self, upstream: &Incarnation) {
         self.upstreams.retain(|u| u.incarnation != *upstream);
     }
 
-    /// Returns where an upstream stands in the pool.
+    /// Returns the index of an upstream in the pool.
     pub fn position(&self, upstream: &Incarnation) -> Option<usize> {
         self.upstreams.iter().position(|u| u.incarnation == *upstream)
     }
 
-    /// Returns the upstreams.
+    /// Returns all upstreams, including those of evacuated zones.
     pub fn upstreams(&self) -> &[Upstream] {
         &self.upstreams
     }
 
-    /// Returns how many upstreams a node compares for a request, at least one.
-    pub fn compared(&self) -> usize {
-        self.in_service_count().clamp(1, OWN_ZONE_MOST + OTHER_ZONES_MOST)
+    /// Returns the number of upstreams that a node usually compares for a request, at least 1.
+    pub fn compared_count(&self) -> usize {
+        self.in_service_count().clamp(1, MAX_OWN_ZONE_COMPARED + MAX_OTHER_ZONES_COMPARED)
     }
 
-    /// Returns whether upstreams of this service report their load, once one answered.
-    pub fn reports(&self) -> Option<bool> {
-        self.reports
+    /// Returns whether the upstreams of this service report their load; `None` before the first
+    /// response.
+    pub fn reports_load(&self) -> Option<bool> {
+        self.reports_load
     }
 
-    /// Takes an upstream's report of its load, or that its answer had none.
-    pub fn take_report(&mut self, upstream: &Incarnation, load: Option<Load>, now: Instant) {
+    /// Records the load report in a response of an upstream; `None` if the response had none.
+    pub fn record_report(&mut self, upstream: &Incarnation, load: Option<Load>, now: Instant) {
         let Some(load) = load else {
-            self.reports = self.reports.or(Some(false));
+            self.reports_load = self.reports_load.or(Some(false));
             return;
         };
-        self.reports = Some(true);
-        self.usual.slowness += SLOWNESS_WEIGHT * (load.slowness - self.usual.slowness);
-        self.usual.fullness += FULLNESS_WEIGHT * (load.fullness() - self.usual.fullness);
+        self.reports_load = Some(true);
+        self.typical_load.slowness +=
+            SLOWNESS_WEIGHT * (load.slowness - self.typical_load.slowness);
+        self.typical_load.utilization +=
+            UTILIZATION_WEIGHT * (load.utilization() - self.typical_load.utilization);
         if let Some(index) = self.position(upstream) {
-            self.upstreams[index].take_report(load, now);
+            self.upstreams[index].record_report(load, now);
         }
     }
 
-    /// Takes what an upstream says itself of how long it is cold; `None` when it is not.
-    pub fn take_cold(&mut self, upstream: &Incarnation, cold_for: Option<Duration>, now: Instant) {
+    /// Records for how much longer an upstream reports to be cold; `None` if it is not cold.
+    pub fn set_cold_for(
+        &mut self,
+        upstream: &Incarnation,
+        cold_for: Option<Duration>,
+        now: Instant,
+    ) {
         if let Some(index) = self.position(upstream) {
-            self.upstreams[index].take_cold(cold_for, now);
+            self.upstreams[index].set_cold_for(cold_for, now);
         }
     }
 
-    /// Records that a request goes to a candidate that was ranked just now.
-    pub fn chosen(&mut self, candidate: &Candidate) {
-        if let (Some(turn), Some(upstream)) =
-            (candidate.turn, self.upstreams.get_mut(candidate.index))
+    /// Records that a request will be sent to a candidate; the pool must not have changed since
+    /// [`Pool::rank`].
+    pub fn record_chosen(&mut self, candidate: &Candidate) {
+        if let (Some(window), Some(upstream)) =
+            (candidate.window, self.upstreams.get_mut(candidate.index))
         {
-            upstream.turn_used = Some(turn);
+            upstream.last_window = Some(window);
         }
     }
 
     /// Records that a request was sent.
-    pub fn sent(&mut self, upstream: &Incarnation) {
+    pub fn record_sent(&mut self, upstream: &Incarnation) {
         if let Some(index) = self.position(upstream) {
-            self.upstreams[index].sent();
+            self.upstreams[index].record_sent();
         }
     }
 
-    /// Records how a request ended.
-    pub fn ended(&mut self, upstream: &Incarnation, end: End, now: Instant) {
+    /// Records the outcome of a request that was sent.
+    pub fn record_outcome(
+        &mut self,
+        upstream: &Incarnation,
+        outcome: RequestOutcome,
+        now: Instant,
+    ) {
         let Some(index) = self.position(upstream) else { return };
-        let may_eject = end == End::Failed && self.may_eject(index, now);
+        let may_eject = outcome == RequestOutcome::Failed && self.may_eject(index, now);
         let upstream = &mut self.upstreams[index];
-        upstream.ended();
-        match end {
-            End::Answered => upstream.health.answered(now),
-            End::Failed => upstream.health.failed(may_eject, now),
-            End::Refused => match upstream.report(now) {
-                Some((load, _)) if load.has_room() => upstream.health.refused_with_room(now),
+        upstream.record_ended();
+        match outcome {
+            RequestOutcome::Answered => upstream.health.record_success(now),
+            RequestOutcome::Failed => upstream.health.record_failure(may_eject, now),
+            RequestOutcome::Refused => match upstream.report(now) {
+                Some((load, _)) if load.has_free_slot() => {
+                    upstream.health.record_unexplained_refusal(now)
+                }
                 _ => {}
             },
-            End::GivenUp => {}
+            RequestOutcome::Cancelled => {}
         }
     }
 
-    /// Records that no connection could be made to an upstream.
-    pub fn unreachable(&mut self, upstream: &Incarnation, now: Instant) {
+    /// Records that no connection to an upstream could be opened.
+    pub fn record_connect_failure(&mut self, upstream: &Incarnation, now: Instant) {
         if let Some(index) = self.position(upstream) {
             let may_eject = self.may_eject(index, now);
-            self.upstreams[index].health.failed(may_eject, now);
+            self.upstreams[index].health.record_failure(may_eject, now);
         }
     }
 
-    /// Records that a request took, or has taken so far, `ratio` times its prediction.
-    pub fn took_ratio(&mut self, upstream: &Incarnation, ratio: f64, now: Instant) {
+    /// Records that a request took, or has taken so far, `ratio` times its predicted latency.
+    pub fn record_latency_ratio(&mut self, upstream: &Incarnation, ratio: f64, now: Instant) {
         if let Some(index) = self.position(upstream) {
-            self.upstreams[index].took_ratio(ratio, now);
+            self.upstreams[index].record_latency_ratio(ratio, now);
         }
     }
 
-    /// Returns true when the others can carry the load without `index`.
+    /// Returns true if at most half of the upstreams would be ejected together with `index`.
     ///
-    /// Without this bound an overload, in which every upstream fails requests,
-    /// would eject them all and turn a slow service into one that is down.
+    /// Without this limit, an overload in which every upstream fails requests would eject them all
+    /// and turn a slow service into an unavailable one.
     fn may_eject(&self, index: usize, now: Instant) -> bool {
-        let is_out =
-            |(i, u): &(usize, &Upstream)| *i != index && u.health.standing(now) != Standing::Good;
-        let out = self.in_service().filter(is_out).count();
-        2 * (out + 1) <= self.in_service_count()
+        let is_ejected = |(i, u): &(usize, &Upstream)| {
+            *i != index && u.health.state(now) != HealthState::Healthy
+        };
+        let ejected = self.in_service().filter(is_ejected).count();
+        2 * (ejected + 1) <= self.in_service_count()
     }
 
-    /// Returns the upstreams that a request could go to, best first.
+    /// Returns the upstreams that a request could be sent to, best first.
+    ///
+    /// `connection` tells how the node can get a request to an upstream.
     pub fn rank<R: Rng>(
         &self,
-        ask: Ask<'_>,
-        reach: impl Fn(&Incarnation) -> Reach,
+        criteria: SelectionCriteria<'_>,
+        connection: impl Fn(&Incarnation) -> ConnectionPlan,
         now: Instant,
         rng: &mut R,
     ) -> Vec<Candidate> {
-        let mut own = self.in_zone(ask, true);
-        let mut others = self.in_zone(ask, false);
+        let mut own = self.upstreams_by_zone(criteria, true);
+        let mut others = self.upstreams_by_zone(criteria, false);
         let mut ranked: Vec<Candidate> = Vec::new();
         loop {
             let next: Vec<usize> = own
                 .by_ref()
-                .take(OWN_ZONE_MOST)
-                .chain(others.by_ref().take(OTHER_ZONES_MOST))
+                .take(MAX_OWN_ZONE_COMPARED)
+                .chain(others.by_ref().take(MAX_OTHER_ZONES_COMPARED))
                 .collect();
             let exhausted = next.is_empty();
             for index in next {
                 let upstream = &self.upstreams[index];
-                match (reach(&upstream.incarnation), self.turn(upstream, ask.warm_up, now)) {
-                    (Reach::Not, _) | (_, Err(NotNow)) => {}
-                    (reach, Ok(turn)) => {
-                        let candidate = self.candidate(index, ask, reach, now, rng);
-                        ranked.push(Candidate { turn, ..candidate });
+                match (
+                    connection(&upstream.incarnation),
+                    self.window(upstream, criteria.warm_up, now),
+                ) {
+                    (ConnectionPlan::Unavailable, _) | (_, Err(NoWindow)) => {}
+                    (connection, Ok(window)) => {
+                        let candidate = self.candidate(index, criteria, connection, now, rng);
+                        ranked.push(Candidate { window, ..candidate });
                     }
                 }
             }
-            if exhausted || ranked.iter().any(|c| c.cost < WIDEN_FROM) {
+            if exhausted || ranked.iter().any(|c| c.cost < MIN_WIDENING_COST) {
                 break;
             }
         }
-        let sound = ranked.iter().map(|c| c.standing).min();
-        // An upstream on trial is as good as any, so that it gets its one request.
-        let worst = sound.map(|best| best.max(Standing::Trial));
-        ranked.retain(|c| Some(c.standing) <= worst);
+        let best_health = ranked.iter().map(|c| c.health).min();
+        // An upstream on trial is ranked like a healthy one, so that it gets its trial request.
+        let worst_health = best_health.map(|best| best.max(HealthState::Trial));
+        ranked.retain(|c| Some(c.health) <= worst_health);
         ranked.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        match ask.policy {
+        match criteria.policy {
             Policy::Reports => {}
             Policy::RoundRobin => {
                 ranked.sort_by_key(|c| c.index);
-                let turn = self.turn.replace(self.turn.get().wrapping_add(1));
+                let rotation = self.rotation.replace(self.rotation.get().wrapping_add(1));
                 let count = ranked.len().max(1);
-                ranked.rotate_left(turn % count);
+                ranked.rotate_left(rotation % count);
             }
             Policy::LeastOutstanding => {
                 ranked.sort_by_key(|c| self.upstreams[c.index].outstanding);
@@ -373,91 +399,119 @@
         ranked
     }
 
-    /// Returns the turn that a request to an upstream uses up; `None` where it needs none.
-    fn turn(
+    /// Returns the warm-up window that a request to an upstream would use; `None` if it needs none.
+    fn window(
         &self,
         upstream: &Upstream,
         warm_up: Option<WarmUp>,
         now: Instant,
-    ) -> Result<Option<Turn>, NotNow> {
+    ) -> Result<Option<Window>, NoWindow> {
         match warm_up {
             Some(warm_up) if upstream.may_be_cold(now) => {
-                let turn = warm_up.turn(self.node_seed, &upstream.incarnation, now);
-                let turn = turn.filter(|turn| upstream.turn_used != Some(*turn));
-                turn.map(Some).ok_or(NotNow)
+                let window = warm_up.window(self.node_seed, &upstream.incarnation, now);
+                let window = window.filter(|window| upstream.last_window != Some(*window));
+                window.map(Some).ok_or(NoWindow)
             }
             _ => Ok(None),
         }
     }
 
-    /// Returns the upstreams in or outside the node's zone that were not tried, in order.
-    fn in_zone<'a>(&'a self, ask: Ask<'a>, own: bool) -> impl Iterator<Item = usize> + 'a {
-        let is_home = move |u: &Upstream| ask.homes.is_none_or(|homes| homes.contains(&u.zone));
-        let wanted = move |u: &Upstream| {
-            (u.zone == ask.zone) == own && is_home(u) && !ask.tried.contains(&u.incarnation)
+    /// Returns the indices of the allowed upstreams that were not tried, in order: those in the
+    /// node's zone if `own` is true, otherwise those in other zones.
+    fn upstreams_by_zone<'a>(
+        &'a self,
+        criteria: SelectionCriteria<'a>,
+        own: bool,
+    ) -> impl Iterator<Item = usize> + 'a {
+        let is_allowed =
+            move |u: &Upstream| criteria.allowed_zones.is_none_or(|zones| zones.contains(&u.zone));
+        let is_eligible = move |u: &Upstream| {
+            (u.zone == criteria.zone) == own
+                && is_allowed(u)
+                && !criteria.tried.contains(&u.incarnation)
         };
-        self.in_service().filter(move |(_, u)| wanted(u)).map(|(index, _)| index)
+        self.in_service().filter(move |(_, u)| is_eligible(u)).map(|(index, _)| index)
     }
 
     fn candidate<R: Rng>(
         &self,
         index: usize,
-        ask: Ask<'_>,
-        reach: Reach,
+        criteria: SelectionCriteria<'_>,
+        connection: ConnectionPlan,
         now: Instant,
         rng: &mut R,
     ) -> Candidate {
         let upstream = &self.upstreams[index];
-        let prediction = upstream.predict(ask.work, self.usual, now);
-        let standing = match upstream.health.standing(now) {
-            Standing::Trial if upstream.outstanding > 0 || !ask.repeatable => Standing::Ejected,
-            standing => standing,
+        let prediction = upstream.predict(criteria.work, self.typical_load, now);
+        let health = match upstream.health.state(now) {
+            HealthState::Trial if upstream.outstanding > 0 || !criteria.repeatable => {
+                HealthState::Ejected
+            }
+            health => health,
         };
-        let part = prediction.took.as_secs_f64() / ask.objective_left.as_secs_f64().max(0.001);
-        let miss = ((part - SAFE_PART) / (LOST_PART - SAFE_PART)).clamp(0.0, 1.0);
-        // Beyond the objective, later is still worse: it may miss the deadline too.
-        let late = (part - LOST_PART).max(0.0) * 0.1;
-        let mut cost = miss + late;
-        cost += FULLNESS * prediction.fullness + CHANCE * rng.random::<f64>();
-        let near = upstream.zone == ask.zone;
-        if !near {
-            cost += ask.cross_zone_cost;
+        let ratio =
+            prediction.latency.as_secs_f64() / criteria.objective_left.as_secs_f64().max(0.001);
+        let miss_cost = ((ratio - SAFE_OBJECTIVE_RATIO)
+            / (MISSED_OBJECTIVE_RATIO - SAFE_OBJECTIVE_RATIO))
+            .clamp(0.0, 1.0);
+        // Beyond the objective, a later response is still worse: it may miss the deadline too.
+        let late_cost = (ratio - MISSED_OBJECTIVE_RATIO).max(0.0) * 0.1;
+        let mut cost = miss_cost + late_cost;
+        cost += UTILIZATION_COST * prediction.utilization + MAX_RANDOM_COST * rng.random::<f64>();
+        let in_own_zone = upstream.zone == criteria.zone;
+        if !in_own_zone {
+            cost += criteria.cross_zone_cost;
         }
-        let queue = upstream.report(now).is_some_and(|(load, _)| load.waiting > 0);
-        cost += match reach {
-            Reach::New | Reach::NewBeside if queue => NEW_CONNECTION + NEW_CONNECTION_AT_A_QUEUE,
-            Reach::New | Reach::NewBeside => NEW_CONNECTION,
-            Reach::Kept | Reach::Not => 0.0,
+        let has_queue = upstream.report(now).is_some_and(|(load, _)| load.waiting > 0);
+        cost += match connection {
+            ConnectionPlan::Open | ConnectionPlan::OpenAdditional if has_queue => {
+                NEW_CONNECTION_COST + NEW_CONNECTION_COST_QUEUED
+            }
+            ConnectionPlan::Open | ConnectionPlan::OpenAdditional => NEW_CONNECTION_COST,
+            ConnectionPlan::Reuse | ConnectionPlan::Unavailable => 0.0,
         };
-        let fresh = upstream.report(now).is_some_and(|(_, age)| age <= FRESH);
-        Candidate { index, cost, prediction, fresh, near, reach, standing, turn: None }
+        let has_fresh_report =
+            upstream.report(now).is_some_and(|(_, age)| age <= MAX_FRESH_REPORT_AGE);
+        Candidate {
+            index,
+            cost,
+            prediction,
+            has_fresh_report,
+            in_own_zone,
+            connection,
+            health,
+            window: None,
+        }
     }
 
-    /// Returns up to `most` of the best `ranked` upstreams whose report is too old to rely on, at
-    /// most `most_new` of them over a new connection.
+    /// Returns the indices of the upstreams to probe for their load: up to `max` of the best
+    /// `ranked` ones without a fresh report, at most `max_new` of them over a new connection.
     ///
-    /// None when the best one is near, its report is fresh and its cost low: asking others could
-    /// hardly improve on it. One of another zone may have to give way to one that was not asked. A
-    /// new connection is dear, and full upstreams make it wait for a slot: its question is answered
-    /// too late to be of use. Least of all is it worth one to ask an upstream at which this node has
-    /// requests under way: it is busier than others, and its answer will say how busy.
-    pub fn to_ask(&self, ranked: &[Candidate], most: usize, most_new: usize) -> Vec<usize> {
-        if ranked.first().is_some_and(|best| best.fresh && best.near && best.cost < GOOD_ENOUGH) {
+    /// The result is empty if the best candidate is in the own zone, has a fresh report and a low
+    /// cost: probing others could hardly improve on it. A candidate of another zone may have to
+    /// give way to one that was not probed. A new connection is expensive, and a full upstream
+    /// answers on it only once a slot is free, which is too late to be of use. A connection is
+    /// never opened to probe an upstream at which this node has requests in flight: it is busier
+    /// than others, and the responses to those requests will report its load.
+    pub fn probe_targets(&self, ranked: &[Candidate], max: usize, max_new: usize) -> Vec<usize> {
+        if ranked.first().is_some_and(|best| {
+            best.has_fresh_report && best.in_own_zone && best.cost < MAX_COST_WITHOUT_PROBE
+        }) {
             return Vec::new();
         }
-        let mut new_left = most_new;
-        let mut may_ask = |candidate: &Candidate| match candidate.reach {
-            Reach::New => match new_left.checked_sub(1) {
+        let mut new_left = max_new;
+        let mut may_probe = |candidate: &Candidate| match candidate.connection {
+            ConnectionPlan::Open => match new_left.checked_sub(1) {
                 Some(left) => {
                     new_left = left;
                     true
                 }
                 None => false,
             },
-            Reach::Kept => true,
-            Reach::NewBeside | Reach::Not => false,
+            ConnectionPlan::Reuse => true,
+            ConnectionPlan::OpenAdditional | ConnectionPlan::Unavailable => false,
         };
-        let old = ranked.iter().filter(|c| !c.fresh);
-        old.filter(|c| may_ask(c)).take(most).map(|c| c.index).collect()
+        let without_fresh_report = ranked.iter().filter(|c| !c.has_fresh_report);
+        without_fresh_report.filter(|c| may_probe(c)).take(max).map(|c| c.index).collect()
     }
 }
--- a/crates/place/src/rate.rs
+++ b/crates/place/src/rate.rs
@@ -1,32 +1,32 @@
-//! How often something happens, by what happened lately.
+//! An exponentially decaying event rate.
 
 use std::time::{Duration, Instant};
 
-/// Time in which what happened loses most of its weight: a few bursts of callers.
-const FADES_IN: Duration = Duration::from_secs(5);
+/// Time constant of the decay: the duration of a few bursts of callers.
+const DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// A rate of events that fade with time.
+/// A rate of events in which older events weigh less.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
-    faded_count: f64,
+    weighted_count: f64,
     newest_at: Option<Instant>,
 }
 
 impl Rate {
     /// Counts one event.
     pub fn count(&mut self, now: Instant) {
-        self.faded_count = self.faded(now) + 1.0;
+        self.weighted_count = self.decayed_count(now) + 1.0;
         self.newest_at = Some(now);
     }
 
     /// Returns events per second.
     pub fn per_s(&self, now: Instant) -> f64 {
-        self.faded(now) / FADES_IN.as_secs_f64()
+        self.decayed_count(now) / DECAY_TIME.as_secs_f64()
     }
 
-    fn faded(&self, now: Instant) -> f64 {
+    fn decayed_count(&self, now: Instant) -> f64 {
         let age = self.newest_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.faded_count * (-age.as_secs_f64() / FADES_IN.as_secs_f64()).exp()
+        self.weighted_count * (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
     }
 }
 
--- a/crates/place/src/tests.rs
+++ b/crates/place/src/tests.rs
@@ -4,12 +4,14 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
-use crate::{Ask, End, Entry, Incarnation, Load, Policy, Pool, Reach};
+use crate::{
+    ConnectionPlan, Entry, Incarnation, Load, Policy, Pool, RequestOutcome, SelectionCriteria,
+};
 
 const WORK: Duration = Duration::from_millis(100);
 pub const OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// When the upstreams of the tests started.
+/// Start time of the upstreams in the tests.
 pub const BORN_MS: u64 = 1_000;
 
 pub fn ms(ms: u64) -> Duration {
@@ -29,7 +31,7 @@
     }
 }
 
-/// The start of an upstream that [`entry`] describes.
+/// Returns the incarnation of the upstream that [`entry`] describes.
 pub fn up(id: impl Into<crate::UpstreamId>) -> Incarnation {
     Incarnation { id: id.into(), born_ms: BORN_MS }
 }
@@ -38,184 +40,188 @@
     Some(Load { running, waiting, slots: 4, slowness })
 }
 
-/// A pool of `count` upstreams in zone `a`.
+/// Returns a pool of `count` upstreams in zone `a`.
 pub fn pool(count: u16, now: Instant) -> Pool {
     let mut pool = Pool::default();
     (1..=count).for_each(|n| pool.put(&entry(n, "a"), now));
     pool
 }
 
-pub fn ask<'a>() -> Ask<'a> {
-    Ask {
+pub fn criteria<'a>() -> SelectionCriteria<'a> {
+    SelectionCriteria {
         policy: Policy::Reports,
         work: WORK,
         objective_left: OBJECTIVE,
         zone: "a",
         cross_zone_cost: 0.06,
-        homes: None,
+        allowed_zones: None,
         warm_up: None,
         tried: &[],
         repeatable: true,
     }
 }
 
-/// Returns the ids of the upstreams for a request, best first.
-fn ranked(pool: &Pool, ask: Ask<'_>, now: Instant) -> Vec<String> {
-    let candidates = pool.rank(ask, |_| Reach::Kept, now, &mut StdRng::seed_from_u64(1));
+/// Returns the ids of the ranked upstreams, best first.
+fn ranked(pool: &Pool, criteria: SelectionCriteria<'_>, now: Instant) -> Vec<String> {
+    let candidates =
+        pool.rank(criteria, |_| ConnectionPlan::Reuse, now, &mut StdRng::seed_from_u64(1));
     candidates.iter().map(|c| pool.upstreams()[c.index].incarnation.id.to_string()).collect()
 }
 
-/// Symptom: one request in four is four times slower although most machines are idle.
-/// Sequence: machines change speed every 300 ms; one reported a moment ago that it is slow.
-/// Cause: choosing by averages, or by none of it.
+/// Guards against one request in four being four times slower although most machines are idle:
+/// machines change speed every 300 ms, so ranking by averages misses that one has just reported to
+/// be slow.
 #[test]
-fn a_machine_that_just_said_it_is_slow_comes_last() {
+fn an_upstream_that_just_reported_to_be_slow_is_ranked_last() {
     let now = Instant::now();
     let mut pool = pool(3, now);
-    pool.take_report(&up("u1"), load(0, 0, 4.0), now);
-    pool.take_report(&up("u2"), load(0, 0, 1.0), now);
-    pool.take_report(&up("u3"), load(0, 0, 4.0), now);
-    assert_eq!(ranked(&pool, ask(), now + ms(10))[0], "u2");
+    pool.record_report(&up("u1"), load(0, 0, 4.0), now);
+    pool.record_report(&up("u2"), load(0, 0, 1.0), now);
+    pool.record_report(&up("u3"), load(0, 0, 4.0), now);
+    assert_eq!(ranked(&pool, criteria(), now + ms(10))[0], "u2");
 }
 
-/// Symptom: an upstream that was slow once gets no requests any more.
-/// Sequence: it reported itself slow; nobody asks it again for a second.
-/// Cause: trusting an old report like a new one.
+/// Guards against never using an upstream again that once reported to be slow and has not been
+/// probed since, because an old report is trusted like a new one.
 #[test]
-fn an_old_report_says_nothing() {
+fn an_old_report_is_ignored() {
     let now = Instant::now();
     let mut pool = pool(2, now);
-    pool.take_report(&up("u1"), load(0, 0, 4.0), now);
+    pool.record_report(&up("u1"), load(0, 0, 4.0), now);
     let later = now + ms(3_000);
-    let candidates = pool.rank(ask(), |_| Reach::Kept, later, &mut StdRng::seed_from_u64(1));
-    let took: Vec<Duration> = candidates.iter().map(|c| c.prediction.took).collect();
-    assert!(took[0].abs_diff(took[1]) < ms(1), "{took:?}");
-    assert_eq!(pool.to_ask(&candidates, 3, 3).len(), 2);
+    let candidates =
+        pool.rank(criteria(), |_| ConnectionPlan::Reuse, later, &mut StdRng::seed_from_u64(1));
+    let latencies: Vec<Duration> = candidates.iter().map(|c| c.prediction.latency).collect();
+    assert!(latencies[0].abs_diff(latencies[1]) < ms(1), "{latencies:?}");
+    assert_eq!(pool.probe_targets(&candidates, 3, 3).len(), 2);
 }
 
 #[test]
-fn nobody_is_asked_when_a_fresh_report_is_as_good_as_it_gets() {
+fn nothing_is_probed_if_the_best_upstream_has_a_good_fresh_report() {
     let now = Instant::now();
     let mut pool = pool(3, now);
-    pool.take_report(&up("u1"), load(0, 0, 1.0), now);
-    let candidates = pool.rank(ask(), |_| Reach::Kept, now + ms(10), &mut StdRng::seed_from_u64(1));
-    assert!(pool.to_ask(&candidates, 3, 3).is_empty());
+    pool.record_report(&up("u1"), load(0, 0, 1.0), now);
+    let candidates = pool.rank(
+        criteria(),
+        |_| ConnectionPlan::Reuse,
+        now + ms(10),
+        &mut StdRng::seed_from_u64(1),
+    );
+    assert!(pool.probe_targets(&candidates, 3, 3).is_empty());
 }
 
-/// Symptom: bytes between zones cost more than the requests earn.
-/// Sequence: upstreams of both zones are idle and equally fast.
-/// Cause: zones not told apart; and the reverse, a slow own zone that is never left.
+/// Guards against traffic between zones that costs more than the requests are worth when upstreams
+/// of both zones are idle and equally fast. Conversely, a slow own zone must not be preferred.
 #[test]
 fn the_own_zone_is_preferred_until_it_is_slow() {
     let now = Instant::now();
     let mut pool = pool(1, now);
     pool.put(&entry(2, "b"), now);
     for id in ["u1", "u2"] {
-        pool.take_report(&up(id), load(0, 0, 1.0), now);
+        pool.record_report(&up(id), load(0, 0, 1.0), now);
     }
-    assert_eq!(ranked(&pool, ask(), now)[0], "u1");
-    pool.take_report(&up("u1"), load(0, 0, 4.0), now);
-    assert_eq!(ranked(&pool, ask(), now)[0], "u2");
+    assert_eq!(ranked(&pool, criteria(), now)[0], "u1");
+    pool.record_report(&up("u1"), load(0, 0, 4.0), now);
+    assert_eq!(ranked(&pool, criteria(), now)[0], "u2");
 }
 
-/// Symptom: two nearly simultaneous requests queue at the same upstream.
-/// Sequence: a report shows one free slot; a request is sent there; another comes before a new report.
-/// Cause: not counting what was sent since the report.
+/// Guards against two nearly simultaneous requests queueing at the same upstream: a report shows
+/// one free slot, a request is sent there, and another one arrives before the next report.
 #[test]
-fn what_was_sent_since_a_report_counts() {
+fn requests_sent_since_a_report_are_counted() {
     let now = Instant::now();
     let mut pool = pool(2, now);
-    pool.take_report(&up("u1"), load(1, 0, 1.0), now);
-    pool.take_report(&up("u2"), load(2, 0, 1.0), now);
-    assert_eq!(ranked(&pool, ask(), now)[0], "u1");
-    (0..3).for_each(|_| pool.sent(&up("u1")));
-    assert_eq!(ranked(&pool, ask(), now)[0], "u2");
+    pool.record_report(&up("u1"), load(1, 0, 1.0), now);
+    pool.record_report(&up("u2"), load(2, 0, 1.0), now);
+    assert_eq!(ranked(&pool, criteria(), now)[0], "u1");
+    (0..3).for_each(|_| pool.record_sent(&up("u1")));
+    assert_eq!(ranked(&pool, criteria(), now)[0], "u2");
 }
 
-/// Symptom: nearly half of all requests to one upstream fail, for as long as it lives.
-/// Sequence: it reports no load and passes its health check; its requests fail.
-/// Cause: going by what it says instead of by its record.
+/// Guards against sending requests to a broken upstream for as long as it runs: it reports no load
+/// and passes its health check, but nearly half of its requests fail.
 #[test]
-fn an_upstream_that_fails_requests_is_ejected_and_tried_again() {
+fn a_failing_upstream_is_ejected_and_gets_trial_requests() {
     let mut now = Instant::now();
     let mut pool = pool(3, now);
     let fail = |pool: &mut Pool, now| {
-        pool.sent(&up("u1"));
-        pool.ended(&up("u1"), End::Failed, now);
+        pool.record_sent(&up("u1"));
+        pool.record_outcome(&up("u1"), RequestOutcome::Failed, now);
     };
     fail(&mut pool, now);
-    assert!(ranked(&pool, ask(), now).contains(&"u1".to_owned()), "one failure is no verdict");
+    assert!(
+        ranked(&pool, criteria(), now).contains(&"u1".to_owned()),
+        "one failure does not eject"
+    );
     fail(&mut pool, now);
-    assert!(!ranked(&pool, ask(), now).contains(&"u1".to_owned()));
+    assert!(!ranked(&pool, criteria(), now).contains(&"u1".to_owned()));
     now += ms(10_000);
-    assert!(ranked(&pool, ask(), now).contains(&"u1".to_owned()), "on trial");
-    pool.sent(&up("u1"));
-    assert!(!ranked(&pool, ask(), now).contains(&"u1".to_owned()), "one trial at a time");
-    pool.ended(&up("u1"), End::Failed, now);
-    assert!(!ranked(&pool, ask(), now).contains(&"u1".to_owned()), "the trial failed");
+    assert!(ranked(&pool, criteria(), now).contains(&"u1".to_owned()), "on trial");
+    pool.record_sent(&up("u1"));
+    assert!(!ranked(&pool, criteria(), now).contains(&"u1".to_owned()), "one trial at a time");
+    pool.record_outcome(&up("u1"), RequestOutcome::Failed, now);
+    assert!(!ranked(&pool, criteria(), now).contains(&"u1".to_owned()), "the trial failed");
     now += ms(10_000);
-    pool.sent(&up("u1"));
-    pool.ended(&up("u1"), End::Answered, now);
-    assert!(ranked(&pool, ask(), now).contains(&"u1".to_owned()));
+    pool.record_sent(&up("u1"));
+    pool.record_outcome(&up("u1"), RequestOutcome::Answered, now);
+    assert!(ranked(&pool, criteria(), now).contains(&"u1".to_owned()));
 }
 
-/// Symptom: a claim fails for good at an upstream that everyone knows to be ill.
-/// Sequence: an ejected upstream is due for its trial; a request that must not run twice comes.
-/// Cause: making a trial of a request whose failure cannot be mended.
+/// Guards against the permanent failure of a request that must not run twice: it arrives when an
+/// ejected upstream is due for a trial, and cannot be sent again if the trial fails.
 #[test]
-fn a_request_that_cannot_be_repeated_is_no_trial() {
+fn a_request_that_cannot_be_repeated_is_not_used_as_a_trial() {
     let now = Instant::now();
     let mut pool = pool(3, now);
     for _ in 0..2 {
-        pool.sent(&up("u1"));
-        pool.ended(&up("u1"), End::Failed, now);
+        pool.record_sent(&up("u1"));
+        pool.record_outcome(&up("u1"), RequestOutcome::Failed, now);
     }
     let later = now + ms(10_000);
-    let once = Ask { repeatable: false, ..ask() };
+    let once = SelectionCriteria { repeatable: false, ..criteria() };
     assert!(!ranked(&pool, once, later).contains(&"u1".to_owned()));
 }
 
-/// Symptom: a service that is slow becomes one that is down.
-/// Sequence: every upstream fails requests under overload.
-/// Cause: ejecting all of them.
+/// Guards against turning a slow service into an unavailable one: under overload every upstream
+/// fails requests, and all of them would be ejected.
 #[test]
 fn at_most_half_of_the_upstreams_are_ejected() {
     let now = Instant::now();
     let mut pool = pool(4, now);
     for n in 1..=4 {
         for _ in 0..5 {
-            pool.sent(&up(format!("u{n}")));
-            pool.ended(&up(format!("u{n}")), End::Failed, now);
+            pool.record_sent(&up(format!("u{n}")));
+            pool.record_outcome(&up(format!("u{n}")), RequestOutcome::Failed, now);
         }
     }
-    assert_eq!(ranked(&pool, ask(), now).len(), 2);
+    assert_eq!(ranked(&pool, criteria(), now).len(), 2);
 }
 
 #[test]
-fn an_upstream_slow_beyond_its_report_is_found_out() {
+fn an_upstream_slower_than_its_report_is_detected() {
     let now = Instant::now();
     let mut pool = pool(2, now);
-    pool.take_report(&up("u1"), load(0, 0, 1.0), now);
-    pool.take_report(&up("u2"), load(1, 0, 1.2), now);
-    assert_eq!(ranked(&pool, ask(), now)[0], "u1");
-    (0..3).for_each(|_| pool.took_ratio(&up("u1"), 5.0, now));
-    assert_eq!(ranked(&pool, ask(), now)[0], "u2");
+    pool.record_report(&up("u1"), load(0, 0, 1.0), now);
+    pool.record_report(&up("u2"), load(1, 0, 1.2), now);
+    assert_eq!(ranked(&pool, criteria(), now)[0], "u1");
+    (0..3).for_each(|_| pool.record_latency_ratio(&up("u1"), 5.0, now));
+    assert_eq!(ranked(&pool, criteria(), now)[0], "u2");
 }
 
-/// Symptom: nearly every request opens a connection, and predictions are guesses.
-/// Sequence: a hundred nodes with a few requests a second each share two hundred upstreams.
-/// Cause: every node comparing a random part of all of them for every request.
+/// Guards against opening a connection for nearly every request and predicting without recent
+/// reports. It happens when a hundred nodes with a few requests a second each share two hundred
+/// upstreams, and each node compares a random subset for every request.
 #[test]
-fn a_node_keeps_to_a_few_upstreams_and_all_nodes_together_use_all() {
+fn each_node_uses_a_few_upstreams_and_all_nodes_together_use_all() {
     let now = Instant::now();
     let mut used = std::collections::HashSet::new();
     for node in 0..40 {
-        let mut pool = Pool::of_node(node);
+        let mut pool = Pool::with_node_seed(node);
         (1..=100).for_each(|n| pool.put(&entry(n, "a"), now));
         let mut compared = std::collections::HashSet::new();
         for seed in 0..20 {
             let mut rng = StdRng::seed_from_u64(seed);
-            let candidates = pool.rank(ask(), |_| Reach::Kept, now, &mut rng);
+            let candidates = pool.rank(criteria(), |_| ConnectionPlan::Reuse, now, &mut rng);
             compared.extend(
                 candidates.iter().map(|c| pool.upstreams()[c.index].incarnation.id.clone()),
             );
@@ -227,152 +233,165 @@
 }
 
 #[test]
-fn a_node_whose_few_upstreams_are_all_slow_compares_more() {
+fn a_node_compares_more_upstreams_if_its_usual_ones_are_slow() {
     let now = Instant::now();
-    let mut pool = Pool::of_node(1);
+    let mut pool = Pool::with_node_seed(1);
     (1..=30).for_each(|n| pool.put(&entry(n, "a"), now));
-    let few: Vec<String> = ranked(&pool, ask(), now);
-    assert_eq!(few.len(), 12);
-    few.iter().for_each(|id| pool.take_report(&up(id), load(4, 9, 4.0), now));
-    assert!(ranked(&pool, ask(), now).len() > 12);
+    let usual: Vec<String> = ranked(&pool, criteria(), now);
+    assert_eq!(usual.len(), 12);
+    usual.iter().for_each(|id| pool.record_report(&up(id), load(4, 9, 4.0), now));
+    assert!(ranked(&pool, criteria(), now).len() > 12);
 }
 
-/// Symptom: the upstreams of a node change wholesale when one comes or goes.
-/// Sequence: an upstream leaves.
-/// Cause: an order by position instead of by each upstream's own number.
+/// Guards against replacing most of the upstreams that a node uses when a single upstream is
+/// removed, which happens if the order depends on list positions instead of each upstream's hash.
 #[test]
-fn the_few_upstreams_of_a_node_are_stable() {
+fn the_upstreams_compared_by_a_node_are_stable() {
     let now = Instant::now();
-    let mut pool = Pool::of_node(1);
+    let mut pool = Pool::with_node_seed(1);
     (1..=30).for_each(|n| pool.put(&entry(n, "a"), now));
-    let before: std::collections::HashSet<String> = ranked(&pool, ask(), now).into_iter().collect();
+    let before: std::collections::HashSet<String> =
+        ranked(&pool, criteria(), now).into_iter().collect();
     pool.remove(&up(before.iter().next().expect("twelve")));
-    let after: std::collections::HashSet<String> = ranked(&pool, ask(), now).into_iter().collect();
+    let after: std::collections::HashSet<String> =
+        ranked(&pool, criteria(), now).into_iter().collect();
     assert_eq!(before.intersection(&after).count(), 11);
 }
 
-/// Symptom: upstreams reset connections, and claims sent on them are lost.
-/// Sequence: a node has its share of an upstream's connections in use, or the upstream's queue is
-/// long; another upstream is a little slower.
-/// Cause: opening one more connection whenever none is idle.
+/// Guards against losing requests that must not run twice on connections that upstreams reset: a
+/// node must not open one more connection to an upstream whose connection share is in use or whose
+/// queue is long if another upstream is only a little slower.
 #[test]
 fn connections_that_an_upstream_would_reset_are_not_opened() {
     let now = Instant::now();
     let mut pool = pool(2, now);
-    pool.take_report(&up("u1"), load(0, 0, 1.0), now);
-    pool.take_report(&up("u2"), load(1, 0, 1.2), now);
-    let first = |pool: &Pool, reach: Reach| {
-        let reach = |upstream: &Incarnation| if upstream.id == "u1" { reach } else { Reach::New };
-        let ranked = pool.rank(ask(), reach, now, &mut StdRng::seed_from_u64(1));
+    pool.record_report(&up("u1"), load(0, 0, 1.0), now);
+    pool.record_report(&up("u2"), load(1, 0, 1.2), now);
+    let first = |pool: &Pool, connection: ConnectionPlan| {
+        let connection = |upstream: &Incarnation| {
+            if upstream.id == "u1" {
+                connection
+            } else {
+                ConnectionPlan::Open
+            }
+        };
+        let ranked = pool.rank(criteria(), connection, now, &mut StdRng::seed_from_u64(1));
         pool.upstreams()[ranked[0].index].incarnation.id.to_string()
     };
-    assert_eq!(first(&pool, Reach::New), "u1");
-    assert_eq!(first(&pool, Reach::Not), "u2");
-    pool.take_report(&up("u1"), load(0, 1, 1.0), now);
-    assert_eq!(first(&pool, Reach::New), "u2");
-    assert_eq!(first(&pool, Reach::Kept), "u1");
+    assert_eq!(first(&pool, ConnectionPlan::Open), "u1");
+    assert_eq!(first(&pool, ConnectionPlan::Unavailable), "u2");
+    pool.record_report(&up("u1"), load(0, 1, 1.0), now);
+    assert_eq!(first(&pool, ConnectionPlan::Open), "u2");
+    assert_eq!(first(&pool, ConnectionPlan::Reuse), "u1");
 }
 
-/// Symptom: in a burst a node opens ten connections a second to upstreams that it never used, and
-/// most of them are reset or wait for a slot.
-/// Sequence: all upstreams that the node knows report full queues; it has heard nothing of others.
-/// Cause: an upstream that nothing is known of was taken for empty, and so for the best.
+/// Guards against opening ten connections a second in a burst to upstreams that the node never
+/// used, most of which are reset or wait for a slot: if all upstreams with reports have full
+/// queues, one without a report must not be assumed to be empty and ranked best.
 #[test]
-fn an_upstream_not_heard_of_is_as_full_as_the_others() {
+fn an_upstream_without_a_report_is_assumed_as_full_as_the_others() {
     let now = Instant::now();
     let mut pool = pool(40, now);
     for _ in 0..10 {
-        (1..=10).for_each(|n| pool.take_report(&up(format!("u{n}")), load(4, 6, 1.0), now));
+        (1..=10).for_each(|n| pool.record_report(&up(format!("u{n}")), load(4, 6, 1.0), now));
     }
     let known: Vec<String> = (1..=10).map(|n| format!("u{n}")).collect();
-    let reach = |upstream: &Incarnation| match known.iter().any(|k| *k == upstream.id) {
-        true => Reach::Kept,
-        false => Reach::New,
+    let connection = |upstream: &Incarnation| match known.iter().any(|k| *k == upstream.id) {
+        true => ConnectionPlan::Reuse,
+        false => ConnectionPlan::Open,
     };
-    let candidates = pool.rank(ask(), reach, now + ms(20), &mut StdRng::seed_from_u64(1));
+    let candidates = pool.rank(criteria(), connection, now + ms(20), &mut StdRng::seed_from_u64(1));
     let best = &pool.upstreams()[candidates[0].index];
     assert!(known.iter().any(|k| *k == best.incarnation.id), "{} came first", best.incarnation.id);
     let unknown = candidates
         .iter()
         .find(|c| !known.iter().any(|k| *k == pool.upstreams()[c.index].incarnation.id));
     assert!(
-        unknown.is_none_or(|c| !c.prediction.wait.is_zero()),
+        unknown.is_none_or(|c| !c.prediction.queue_time.is_zero()),
         "no wait expected at {unknown:?}"
     );
 }
 
-/// Symptom: a request costs up to six new connections before it is even sent.
-/// Sequence: a node that has just started, or whose upstreams are all slow, asks for reports.
-/// Cause: questions over new connections were as free as others.
+/// Guards against opening up to six connections for probes before a request is sent: a node that
+/// has just started, or whose upstreams are all slow, probes for reports.
 #[test]
-fn few_upstreams_are_asked_over_new_connections() {
+fn few_upstreams_are_probed_over_new_connections() {
     let now = Instant::now();
     let pool = pool(8, now);
-    let reach = |upstream: &Incarnation| if upstream.id == "u1" { Reach::Kept } else { Reach::New };
-    let candidates = pool.rank(ask(), reach, now, &mut StdRng::seed_from_u64(1));
-    let asked = pool.to_ask(&candidates, 3, 1);
-    let new = asked.iter().filter(|index| pool.upstreams()[**index].incarnation.id != "u1").count();
-    assert_eq!((asked.len(), new), (2, 1));
-    assert_eq!(pool.to_ask(&candidates, 3, 0).len(), 1);
+    let connection = |upstream: &Incarnation| {
+        if upstream.id == "u1" {
+            ConnectionPlan::Reuse
+        } else {
+            ConnectionPlan::Open
+        }
+    };
+    let candidates = pool.rank(criteria(), connection, now, &mut StdRng::seed_from_u64(1));
+    let probed = pool.probe_targets(&candidates, 3, 1);
+    let new =
+        probed.iter().filter(|index| pool.upstreams()[**index].incarnation.id != "u1").count();
+    assert_eq!((probed.len(), new), (2, 1));
+    assert_eq!(pool.probe_targets(&candidates, 3, 0).len(), 1);
 }
 
-/// Symptom: nearly half of the connections that a fleet opens are second ones to the same upstream.
-/// Sequence: a request of this node runs at an upstream for a second, on the only connection to it;
-/// others come meanwhile, and ask that upstream too.
-/// Cause: asking over whatever connection could be had. It may still be sent to.
+/// Guards against nearly half of all opened connections being second ones to the same upstream: a
+/// request of this node runs there for a second on the only connection, and other requests that
+/// arrive meanwhile probe the upstream too. Requests may still be sent to it.
 #[test]
-fn no_connection_is_opened_beside_one_in_use_to_ask() {
+fn no_additional_connection_is_opened_for_a_probe() {
     let now = Instant::now();
     let pool = pool(8, now);
-    let reach =
-        |upstream: &Incarnation| if upstream.id == "u1" { Reach::Kept } else { Reach::NewBeside };
-    let candidates = pool.rank(ask(), reach, now, &mut StdRng::seed_from_u64(1));
+    let connection = |upstream: &Incarnation| {
+        if upstream.id == "u1" {
+            ConnectionPlan::Reuse
+        } else {
+            ConnectionPlan::OpenAdditional
+        }
+    };
+    let candidates = pool.rank(criteria(), connection, now, &mut StdRng::seed_from_u64(1));
     assert_eq!(candidates.len(), 8);
-    let asked = pool.to_ask(&candidates, 3, 2);
-    let asked: Vec<_> = asked.iter().map(|i| &*pool.upstreams()[*i].incarnation.id).collect();
-    assert_eq!(asked, ["u1"]);
+    let probed = pool.probe_targets(&candidates, 3, 2);
+    let probed: Vec<_> = probed.iter().map(|i| &*pool.upstreams()[*i].incarnation.id).collect();
+    assert_eq!(probed, ["u1"]);
 }
 
-/// Symptom: requests pile up at some upstreams of a service that does not report its load.
-/// Sequence: no upstream ever reports; two requests are under way at one of them.
-/// Cause: taking all for as full as a mean that nobody reported, whatever this node has sent.
+/// Guards against requests accumulating at some upstreams of a service that never reports its load,
+/// which happens if all are assumed to have the same mean utilization whatever this node has sent.
 #[test]
-fn without_reports_the_nodes_own_requests_tell_upstreams_apart() {
+fn without_reports_upstreams_are_ranked_by_outstanding_requests() {
     let now = Instant::now();
     let mut pool = pool(3, now);
-    pool.take_report(&up("u1"), None, now);
-    (0..2).for_each(|_| pool.sent(&up("u1")));
+    pool.record_report(&up("u1"), None, now);
+    (0..2).for_each(|_| pool.record_sent(&up("u1")));
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let ranked = pool.rank(ask(), |_| Reach::Kept, now, &mut rng);
+        let ranked = pool.rank(criteria(), |_| ConnectionPlan::Reuse, now, &mut rng);
         let last = ranked.last().expect("three candidates");
         assert_eq!(pool.upstreams()[last.index].incarnation.id, "u1");
     }
 }
 
-/// Symptom: an upstream that started again is taken to be full, or ejected, without reason.
-/// Sequence: requests are under way there when it crashes; it starts again under its id; then the
-/// requests end, and what they tell (failures, a report, how long they took) arrives.
-/// Cause: counting by id what belongs to the earlier start.
+/// Guards against treating a restarted upstream as full or ejected without reason: requests are in
+/// flight when it crashes and restarts under the same id, and their failures, reports and
+/// latencies, which belong to the earlier start, arrive afterwards.
 #[test]
-fn what_an_earlier_start_did_says_nothing_of_the_later_one() {
+fn results_of_an_earlier_start_do_not_affect_the_later_one() {
     let now = Instant::now();
     let mut pool = pool(2, now);
     let (earlier, later) = (up("u1"), Incarnation { born_ms: BORN_MS + 900, ..up("u1") });
-    (0..3).for_each(|_| pool.sent(&earlier));
-    pool.take_report(&earlier, load(4, 9, 4.0), now);
+    (0..3).for_each(|_| pool.record_sent(&earlier));
+    pool.record_report(&earlier, load(4, 9, 4.0), now);
     pool.remove(&earlier);
     pool.put(&Entry { born_ms: later.born_ms, ..entry(1, "a") }, now);
-    let fresh = ranked(&pool, ask(), now);
-    pool.sent(&later);
+    let fresh = ranked(&pool, criteria(), now);
+    pool.record_sent(&later);
     for _ in 0..3 {
-        pool.ended(&earlier, End::Failed, now);
-        pool.took_ratio(&earlier, 9.0, now);
+        pool.record_outcome(&earlier, RequestOutcome::Failed, now);
+        pool.record_latency_ratio(&earlier, 9.0, now);
     }
-    pool.unreachable(&earlier, now);
-    pool.take_report(&earlier, load(4, 9, 4.0), now);
+    pool.record_connect_failure(&earlier, now);
+    pool.record_report(&earlier, load(4, 9, 4.0), now);
     let upstream = &pool.upstreams()[pool.position(&later).expect("listed")];
-    assert_eq!(upstream.outstanding, 1, "its own request only");
+    assert_eq!(upstream.outstanding, 1, "only its own request counts");
     assert_eq!((upstream.is_ejected(now), upstream.report(now)), (false, None));
     assert!(fresh.contains(&"u1".to_owned()));
     assert_eq!(pool.position(&earlier), None);
--- a/crates/place/src/warm_up.rs
+++ b/crates/place/src/warm_up.rs
@@ -1,14 +1,16 @@
-//! What upstreams that warm up get, all entry nodes together.
+//! Rate limit for cold upstreams, shared by all entry nodes without coordination.
 //!
-//! The load pattern: a zone's upstreams come back together, cold, while the others are crowded. Each
-//! of a hundred nodes sends a cold one a request, since it looks empty, and it crashes under what a
-//! warm one would bear: it comes back cold once more. A share for each node is a small part of one
-//! request a second, and saved up by a hundred nodes it would come at once.
+//! The load pattern: the upstreams of a zone come back together, cold, while the others are
+//! crowded. Each of a hundred nodes sends a request to a cold upstream because it looks empty. The
+//! upstream crashes under a load that a warm one would bear, and comes back cold once more. A fixed
+//! share for each node does not help: it is a small fraction of one request a second, and if a
+//! hundred nodes save it up, their requests arrive at once.
 //!
-//! Time is therefore cut into turns, in each of which an upstream bears one request, and a node holds
-//! one turn in as many as there are nodes, by a hash of its own number: it saves nothing up, and what
-//! all nodes send adds up to the rate although nobody knows who else holds a turn. It does not matter
-//! which nodes live or reach each other, nor that their clocks differ.
+//! Time is therefore divided into windows, in each of which an upstream can take one request. A
+//! node holds one window in as many as there are nodes, selected by a hash of its own seed. Nothing
+//! is saved up, and what all nodes send adds up to the configured rate although no node knows which
+//! others hold a window. It does not matter which nodes are alive or reach each other, nor that
+//! their clocks differ.
 
 use std::hash::Hasher;
 use std::time::{Duration, Instant};
@@ -17,44 +19,47 @@
 
 use crate::Incarnation;
 
-/// Part of what an upstream bears that nodes hold turns for. Turns that nodes hold by chance within one
-/// second may be twice as many at rates of a few a second.
-const RATE_PART: f64 = 0.75;
+/// Ratio of the rate that an upstream can take for which windows are assigned. At rates of a few
+/// requests a second, the nodes may by chance hold twice the mean number of windows within one
+/// second.
+const TARGET_RATE_RATIO: f64 = 0.75;
 
-/// Time for which the upstreams of a zone that was evacuated until now are taken to be cold, whatever
-/// is known of them: they may have become so at its end, and tell that with their next heartbeat.
-pub(crate) const DOUBTED_FOR: Duration = Duration::from_secs(3);
+/// Time for which all upstreams of a zone whose evacuation has ended are treated as cold, whatever
+/// is known of them. They may have become cold just before, and report that only with their next
+/// heartbeat.
+pub(crate) const ASSUMED_COLD_TTL: Duration = Duration::from_secs(3);
 
-/// A turn of a node at an upstream.
-pub(crate) type Turn = u64;
+/// Number of a time window in which a node may send one request to a cold upstream.
+pub(crate) type Window = u64;
 
-/// What a node has to keep to at the upstreams of a service that are cold.
+/// Limit on the requests to the cold upstreams of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
-    /// Requests that a cold upstream bears in a second, of all nodes together.
-    pub per_s: f64,
-    /// Nodes that may send some, those that do not answer this one included; `None` while this node
-    /// does not know: it sends nothing then.
-    pub nodes: Option<usize>,
-    /// When this node began to count turns.
+    /// Requests that a cold upstream can take in a second, from all nodes together.
+    pub requests_per_s: f64,
+    /// Number of nodes that may send requests, including those that this node cannot reach. `None`
+    /// if this node does not know it yet: it then sends cold upstreams nothing.
+    pub node_count: Option<usize>,
+    /// When the first window of this node began.
     pub since: Instant,
 }
 
 impl WarmUp {
-    /// Returns this node's turn at an upstream if it has one now.
-    pub(crate) fn turn(
+    /// Returns the current window if this node holds it for `upstream`.
+    pub(crate) fn window(
         &self,
         node_seed: u64,
         upstream: &Incarnation,
         now: Instant,
-    ) -> Option<Turn> {
-        let per_s = self.per_s * RATE_PART;
-        let turn = (now.saturating_duration_since(self.since).as_secs_f64() * per_s) as Turn;
-        let mut hasher = SipHasher13::new_with_keys(node_seed, turn);
+    ) -> Option<Window> {
+        let windows_per_s = self.requests_per_s * TARGET_RATE_RATIO;
+        let window =
+            (now.saturating_duration_since(self.since).as_secs_f64() * windows_per_s) as Window;
+        let mut hasher = SipHasher13::new_with_keys(node_seed, window);
         hasher.write_u64(upstream.born_ms);
         hasher.write(upstream.id.as_bytes());
-        let nodes = self.nodes?.max(1) as u64;
-        (per_s > 0.0 && hasher.finish().is_multiple_of(nodes)).then_some(turn)
+        let node_count = self.node_count?.max(1) as u64;
+        (windows_per_s > 0.0 && hasher.finish().is_multiple_of(node_count)).then_some(window)
     }
 }
 
--- a/crates/place/src/warm_up/tests.rs
+++ b/crates/place/src/warm_up/tests.rs
@@ -3,16 +3,16 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use super::{WarmUp, DOUBTED_FOR};
-use crate::tests::{ask, entry, pool};
-use crate::{Ask, Candidate, Entry, Incarnation, Pool, Reach};
+use super::{WarmUp, ASSUMED_COLD_TTL};
+use crate::tests::{criteria, entry, pool};
+use crate::{Candidate, ConnectionPlan, Entry, Incarnation, Pool, SelectionCriteria};
 
-/// What the users allow in any second: so many times the rate, and so many more.
-const OVERSHOOT: f64 = 1.5;
-const SLACK: f64 = 8.0;
+/// Requests that are allowed in any second: a multiple of the rate, and a constant number.
+const MAX_RATE_RATIO: f64 = 1.5;
+const MAX_EXTRA_REQUESTS: f64 = 8.0;
 
-/// For how long nodes watch one cold upstream: longer than any stays so.
-const WATCHED_FOR: Duration = Duration::from_secs(60);
+/// Simulated time for one cold upstream; no upstream stays cold for longer.
+const SIMULATED_TIME: Duration = Duration::from_secs(60);
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -20,23 +20,24 @@
     Incarnation { id: "u".into(), born_ms: 1 }
 }
 
-/// Returns when `nodes` nodes have their turns, each of which takes there to be `known` of them.
-fn turns(nodes: usize, known: usize, per_s: f64, seed: u64) -> Vec<Duration> {
+/// Returns the times of all windows of `nodes` nodes, each of which assumes a node count of
+/// `known`.
+fn windows(nodes: usize, known: usize, requests_per_s: f64, seed: u64) -> Vec<Duration> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let began = Instant::now();
+    let start = Instant::now();
     let mut all = Vec::new();
     for _ in 0..nodes {
         let node_seed = rng.random();
-        let since = began - Duration::from_secs_f64(rng.random_range(0.0..100.0));
-        let warm_up = WarmUp { per_s, nodes: Some(known), since };
-        // The worst that a node may do: it uses each of its turns, at any moment of it.
+        let since = start - Duration::from_secs_f64(rng.random_range(0.0..100.0));
+        let warm_up = WarmUp { requests_per_s, node_count: Some(known), since };
+        // The worst case: the node uses each of its windows, at a random time within it.
         let mut used = None;
         let mut at = Duration::ZERO;
-        while at < WATCHED_FOR {
-            let turn = warm_up.turn(node_seed, &upstream(), began + at);
-            if turn.is_some() && turn != used {
+        while at < SIMULATED_TIME {
+            let window = warm_up.window(node_seed, &upstream(), start + at);
+            if window.is_some() && window != used {
                 all.push(at);
-                used = turn;
+                used = window;
             }
             at += Duration::from_millis(rng.random_range(5..60));
         }
@@ -45,17 +46,17 @@
     all
 }
 
-fn most_in_a_second(turns: &[Duration]) -> usize {
-    let in_it = |from: &Duration| {
-        let end = turns.partition_point(|at| *at < *from + SECOND);
-        end - turns.partition_point(|at| at < from)
+fn max_in_a_second(windows: &[Duration]) -> usize {
+    let count_from = |from: &Duration| {
+        let end = windows.partition_point(|at| *at < *from + SECOND);
+        end - windows.partition_point(|at| at < from)
     };
-    turns.iter().map(in_it).max().unwrap_or_default()
+    windows.iter().map(count_from).max().unwrap_or_default()
 }
 
-/// Symptom: upstreams that have just come back crash again.
-/// Sequence: a hundred nodes, or three hundred, each send a cold one what they may.
-/// Cause: a share of each node that is saved up, or one request at least for each.
+/// Guards against crashing upstreams that have just come back: a hundred or more nodes each send a
+/// cold upstream as much as they may. The total is too high if nodes save up their shares, or if
+/// each may send at least one request.
 #[yare::parameterized(
     few_nodes = { 16, 3.1 },
     a_hundred = { 105, 3.1 },
@@ -63,28 +64,30 @@
     three_hundred = { 312, 3.1 },
     a_quick_service = { 312, 40.0 },
 )]
-fn all_nodes_together_send_what_a_cold_upstream_bears(nodes: usize, per_s: f64) {
-    let bound = per_s * OVERSHOOT + SLACK;
+fn all_nodes_together_keep_to_the_rate_of_a_cold_upstream(nodes: usize, requests_per_s: f64) {
+    let bound = requests_per_s * MAX_RATE_RATIO + MAX_EXTRA_REQUESTS;
     let mut sent = 0;
     for seed in 0..6 {
-        let turns = turns(nodes, nodes, per_s, seed);
-        let most = most_in_a_second(&turns);
-        assert!(most as f64 <= bound, "seed {seed}: {most} in a second, allowed {bound}");
-        sent += turns.len();
+        let windows = windows(nodes, nodes, requests_per_s, seed);
+        let max = max_in_a_second(&windows);
+        assert!(max as f64 <= bound, "seed {seed}: {max} in a second, allowed {bound}");
+        sent += windows.len();
     }
-    let mean_per_s = sent as f64 / 6.0 / WATCHED_FOR.as_secs_f64();
-    assert!((0.6 * per_s..=per_s).contains(&mean_per_s), "{mean_per_s} a second of {per_s}");
+    let mean_per_s = sent as f64 / 6.0 / SIMULATED_TIME.as_secs_f64();
+    assert!(
+        (0.6 * requests_per_s..=requests_per_s).contains(&mean_per_s),
+        "{mean_per_s} a second of {requests_per_s}"
+    );
 }
 
-/// Symptom: the same, while nodes are cut off from each other.
-/// Sequence: each side goes on sending; nodes that do not hear from others still count them.
-/// Cause: dealing the rate out among those that are reached.
+/// Guards against the same while nodes are cut off from each other: both sides keep sending, so
+/// each must divide the rate by the number of all nodes and not only of the reachable ones.
 #[test]
 fn nodes_that_are_cut_off_do_not_send_more() {
-    let (one, other) = (turns(87, 105, 3.1, 1), turns(18, 105, 3.1, 2));
+    let (one, other) = (windows(87, 105, 3.1, 1), windows(18, 105, 3.1, 2));
     let mut all = [one, other].concat();
     all.sort_unstable();
-    assert!(most_in_a_second(&all) as f64 <= 3.1 * OVERSHOOT + SLACK);
+    assert!(max_in_a_second(&all) as f64 <= 3.1 * MAX_RATE_RATIO + MAX_EXTRA_REQUESTS);
 }
 
 fn cold_pool(cold: u16, now: Instant) -> Pool {
@@ -96,50 +99,50 @@
 }
 
 fn rank(pool: &Pool, warm_up: WarmUp, now: Instant) -> Vec<Candidate> {
-    let ask = Ask { warm_up: Some(warm_up), ..ask() };
-    pool.rank(ask, |_| Reach::Kept, now, &mut StdRng::seed_from_u64(1))
+    let criteria = SelectionCriteria { warm_up: Some(warm_up), ..criteria() };
+    pool.rank(criteria, |_| ConnectionPlan::Reuse, now, &mut StdRng::seed_from_u64(1))
 }
 
-/// A node alone has all turns, and uses each once.
+/// A single node holds all windows and uses each once.
 #[test]
-fn a_cold_upstream_gets_one_request_a_turn() {
+fn a_cold_upstream_gets_one_request_per_window() {
     let now = Instant::now();
     let mut pool = cold_pool(1, now);
-    let warm_up = WarmUp { per_s: 2.0, nodes: Some(1), since: now };
+    let warm_up = WarmUp { requests_per_s: 2.0, node_count: Some(1), since: now };
     let is_cold = |pool: &Pool, c: &Candidate| pool.upstreams()[c.index].may_be_cold(now);
     let ranked = rank(&pool, warm_up, now);
-    let cold = ranked.iter().find(|c| is_cold(&pool, c)).expect("it has its turn").clone();
-    pool.chosen(&cold);
+    let cold =
+        ranked.iter().find(|c| is_cold(&pool, c)).expect("the node holds the window").clone();
+    pool.record_chosen(&cold);
     assert!(!rank(&pool, warm_up, now).iter().any(|c| is_cold(&pool, c)), "not twice");
     let later = now + Duration::from_millis(700);
-    assert!(rank(&pool, warm_up, later).iter().any(|c| is_cold(&pool, c)), "the next turn");
+    assert!(rank(&pool, warm_up, later).iter().any(|c| is_cold(&pool, c)), "the next window");
     let warm = now + Duration::from_secs(4);
-    assert_eq!(rank(&pool, WarmUp { nodes: None, ..warm_up }, warm).len(), 4);
+    assert_eq!(rank(&pool, WarmUp { node_count: None, ..warm_up }, warm).len(), 4);
 }
 
-/// A node that has just started would take itself for the only one.
+/// A node that has just started would otherwise assume that it is the only one.
 #[test]
-fn a_node_that_does_not_know_the_others_sends_cold_upstreams_nothing() {
+fn a_node_without_a_node_count_sends_cold_upstreams_nothing() {
     let now = Instant::now();
     let pool = cold_pool(4, now);
-    let warm_up = WarmUp { per_s: 100.0, nodes: None, since: now };
+    let warm_up = WarmUp { requests_per_s: 100.0, node_count: None, since: now };
     assert!(rank(&pool, warm_up, now).is_empty());
 }
 
-/// Symptom: a zone's upstreams crash as soon as its evacuation is over.
-/// Sequence: they became cold shortly before, and have not yet said so.
-/// Cause: believing what they said last.
+/// Guards against crashing the upstreams of a zone right after its evacuation ends: they may have
+/// become cold shortly before and not reported it yet.
 #[test]
-fn upstreams_of_a_zone_that_was_evacuated_until_now_may_be_cold() {
+fn upstreams_of_a_restored_zone_are_treated_as_cold() {
     let now = Instant::now();
     let mut pool = pool(4, now);
-    let warm_up = WarmUp { per_s: 3.0, nodes: None, since: now };
+    let warm_up = WarmUp { requests_per_s: 3.0, node_count: None, since: now };
     assert_eq!(rank(&pool, warm_up, now).len(), 4);
-    pool.evacuate(&["a".into()].into(), now);
+    pool.set_evacuated_zones(&["a".into()].into(), now);
     assert!(rank(&pool, warm_up, now).is_empty());
-    pool.evacuate(&[].into(), now);
+    pool.set_evacuated_zones(&[].into(), now);
     assert!(rank(&pool, warm_up, now).is_empty(), "they may be cold");
-    pool.take_cold(&pool.upstreams()[0].incarnation.clone(), None, now);
-    assert_eq!(rank(&pool, warm_up, now).len(), 1, "it says that it is not");
-    assert_eq!(rank(&pool, warm_up, now + DOUBTED_FOR).len(), 4);
+    pool.set_cold_for(&pool.upstreams()[0].incarnation.clone(), None, now);
+    assert_eq!(rank(&pool, warm_up, now).len(), 1, "it reports that it is not cold");
+    assert_eq!(rank(&pool, warm_up, now + ASSUMED_COLD_TTL).len(), 4);
 }
--- a/crates/place/src/work.rs
+++ b/crates/place/src/work.rs
@@ -1,29 +1,32 @@
-//! What each kind of request takes: time at an upstream that is not slowed, and bytes on the way.
+//! Estimates of the work and the size of each kind of request.
+//!
+//! Work is the time that a request takes at an upstream that is not slowed; size is the number of
+//! bytes that it and its response take on the network.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-/// Share of its objective that a kind of request is taken to need before any was answered.
-const FIRST_GUESS: f64 = 0.35;
+/// Initial estimate of the work of a kind of request, as a ratio of its objective.
+const INITIAL_WORK_RATIO: f64 = 0.35;
 
-/// Size that a request and its answer are taken to have before any was answered, in KiB.
-const FIRST_SIZE_KIB: f64 = 2.0;
+/// Initial estimate of the size of a request and its response, in KiB.
+const INITIAL_SIZE_KIB: f64 = 2.0;
 
-/// Size of the two heads of a request, and of the packets that carry it and its answer, in KiB.
+/// Size of the heads of a request and its response, and of the packet headers of both, in KiB.
 const OVERHEAD_KIB: f64 = 0.7;
 
-/// Weight of the newest answer once there were many.
-const WEIGHT: f64 = 0.05;
+/// Minimum weight of the newest sample, used once there are many.
+const MIN_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Answers that the first guess counts as: the first answers replace it soon.
-const GUESS_COUNTS_AS: u32 = 2;
+/// Number of samples that the initial estimate counts as: the first samples soon replace it.
+const INITIAL_SAMPLES: u32 = 2;
 
-/// Longest time that one answer is counted as, as a factor of the mean so far.
-const MOST: f64 = 3.0;
+/// Maximum value of one sample of work, as a ratio of the mean so far.
+const MAX_SAMPLE_RATIO: f64 = 3.0;
 
-/// A mean in which old samples fade.
+/// A mean in which older samples weigh less.
 #[derive(Clone, Copy, Debug)]
 struct Mean {
     value: f64,
@@ -31,54 +34,55 @@
 }
 
 impl Mean {
-    fn guessed(value: f64) -> Mean {
-        Mean { value, samples: GUESS_COUNTS_AS }
+    fn with_estimate(value: f64) -> Mean {
+        Mean { value, samples: INITIAL_SAMPLES }
     }
 
-    fn add(&mut self, seen: f64) {
+    fn add(&mut self, sample: f64) {
         self.samples += 1;
-        let weight = WEIGHT.max(1.0 / f64::from(self.samples));
-        self.value += weight * (seen - self.value);
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
+        self.value += weight * (sample - self.value);
     }
 }
 
 /// Mean work and size by kind of request.
 #[derive(Clone, Debug, Default)]
-pub struct Works {
+pub struct WorkEstimates {
     seconds: HashMap<SmolStr, Mean>,
     kib: HashMap<SmolStr, Mean>,
 }
 
-impl Works {
-    /// Returns the mean work of `kind`, whose objective is `objective`.
-    pub fn of(&self, kind: &str, objective: Duration) -> Duration {
+impl WorkEstimates {
+    /// Returns the mean work of `kind`, or an estimate from its `objective` if there is no sample.
+    pub fn work(&self, kind: &str, objective: Duration) -> Duration {
         match self.seconds.get(kind) {
             Some(mean) => Duration::from_secs_f64(mean.value),
-            None => objective.mul_f64(FIRST_GUESS),
+            None => objective.mul_f64(INITIAL_WORK_RATIO),
         }
     }
 
-    /// Records an answer by an upstream that was neither slowed nor nearly full.
-    pub fn sample(&mut self, kind: &SmolStr, objective: Duration, took: Duration) {
-        let guess = objective.mul_f64(FIRST_GUESS).as_secs_f64();
-        let mean = self.seconds.entry(kind.clone()).or_insert(Mean::guessed(guess));
-        mean.add(took.as_secs_f64().min(mean.value * MOST));
+    /// Records the latency of a response from an upstream that was neither slowed nor nearly full.
+    pub fn record_work(&mut self, kind: &SmolStr, objective: Duration, latency: Duration) {
+        let estimate = objective.mul_f64(INITIAL_WORK_RATIO).as_secs_f64();
+        let mean = self.seconds.entry(kind.clone()).or_insert(Mean::with_estimate(estimate));
+        mean.add(latency.as_secs_f64().min(mean.value * MAX_SAMPLE_RATIO));
     }
 
-    /// Returns the mean size of a request of `kind` with its answer, in KiB.
+    /// Returns the mean size of a request of `kind` with its response, in KiB.
     pub fn size_kib(&self, kind: &str) -> f64 {
-        self.kib.get(kind).map_or(FIRST_SIZE_KIB, |mean| mean.value)
+        self.kib.get(kind).map_or(INITIAL_SIZE_KIB, |mean| mean.value)
     }
 
-    /// Records the size of the bodies of a request and its answer.
-    pub fn sample_size(&mut self, kind: &SmolStr, bytes: usize) {
-        let mean = self.kib.entry(kind.clone()).or_insert(Mean::guessed(FIRST_SIZE_KIB));
+    /// Records the total size of the bodies of a request and its response.
+    pub fn record_size(&mut self, kind: &SmolStr, bytes: usize) {
+        let mean = self.kib.entry(kind.clone()).or_insert(Mean::with_estimate(INITIAL_SIZE_KIB));
         mean.add(OVERHEAD_KIB + bytes as f64 / 1_024.0);
     }
 
-    /// Forgets kinds that are not among `known`, so that names used once do not pile up.
-    pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
-        self.seconds.retain(|kind, _| known(kind));
-        self.kib.retain(|kind, _| known(kind));
+    /// Removes the kinds for which `is_known` returns false, so that kinds used once do not
+    /// accumulate.
+    pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
+        self.seconds.retain(|kind, _| is_known(kind));
+        self.kib.retain(|kind, _| is_known(kind));
     }
 }
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,8 +1,8 @@
 //! Load patterns replayed in virtual time against the decisions of `place`.
 //!
 //! Callers, entry nodes and upstreams are simulated; what the nodes decide is the product's own
-//! code: [`place::Pool`] ranks, [`place::admit`] sends, holds or refuses, [`place::Attempts`] and
-//! [`place::Works`] learn. A run is determined by its [`Scenario`], its [`Rules`] and a seed, and
+//! code: [`place::Pool`] ranks, [`place::admit`] sends, holds or refuses, [`place::RetryDetector`] and
+//! [`place::WorkEstimates`] learn. A run is determined by its [`Scenario`], its [`Rules`] and a seed, and
 //! takes some tens of milliseconds, so that a decision can be tried against its absence on many
 //! seeds before it is tried anywhere else.
 //!
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use place::{Ask, Candidate, Incarnation, Pool, Reach, Room, Verdict};
+use place::{
+    AdmissionRequest, Candidate, ConnectionPlan, Decision, Incarnation, Pool, SelectionCriteria,
+};
 use rand::rngs::SmallRng;
 use smol_str::{format_smolstr, SmolStr};
 
@@ -41,15 +43,15 @@
     },
     Wait(Duration),
     Refuse {
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
 pub(crate) struct Node {
     pub(crate) zone: usize,
     pools: Vec<Pool>,
-    works: place::Works,
-    attempts: place::Attempts,
+    works: place::WorkEstimates,
+    attempts: place::RetryDetector,
     rng: SmallRng,
 }
 
@@ -73,7 +75,7 @@
             leaving: false,
             cold_for: Duration::ZERO,
         };
-        let mut pools = vec![Pool::of_node(number); scenario.kinds.len()];
+        let mut pools = vec![Pool::with_node_seed(number); scenario.kinds.len()];
         for (index, upstream) in upstreams.iter().enumerate() {
             pools[index / scenario.upstreams].put(&entry((index, upstream)), now);
         }
@@ -83,7 +85,7 @@
 
     /// Returns how long the caller of a request has been trying.
     pub(crate) fn tried_for(&mut self, kind: &Kind, stated: Duration, rules: &Rules) -> Duration {
-        let tried_for = self.attempts.tried_for(&kind.name, stated);
+        let tried_for = self.attempts.retrying_for(&kind.name, stated);
         if rules.counts_from_first_attempt {
             tried_for
         } else {
@@ -103,38 +105,38 @@
     ) -> Step {
         let name = &placing.kind.name;
         let zone = zone_name(self.zone);
-        let ask = Ask {
+        let ask = SelectionCriteria {
             policy: rules.policy,
-            work: self.works.of(name, placing.kind.objective),
+            work: self.works.work(name, placing.kind.objective),
             objective_left: placing.objective_left,
             zone: &zone,
             cross_zone_cost: rules.cross_zone_cost_per_kib * self.works.size_kib(name),
-            homes: None,
+            allowed_zones: None,
             warm_up: None,
             tried: &[],
             repeatable: true,
         };
         let pool = &self.pools[kind];
-        let ranked = pool.rank(ask, |_| Reach::Kept, now, &mut self.rng);
-        let asked = pool.to_ask(&ranked, ASK_AT_ONCE, 0);
+        let ranked = pool.rank(ask, |_| ConnectionPlan::Reuse, now, &mut self.rng);
+        let asked = pool.probe_targets(&ranked, ASK_AT_ONCE, 0);
         let number = |index: usize| number_of(&pool.upstreams()[index].incarnation);
         if may_ask && rules.policy == place::Policy::Reports && !asked.is_empty() {
             return Step::Ask(asked.into_iter().map(number).collect());
         }
         let best = &ranked[0];
-        let room = Room {
+        let room = AdmissionRequest {
             deadline_left: placing.deadline_left,
             objective_left: match rules.refuses_late {
                 true => placing.objective_left,
                 false => placing.deadline_left,
             },
             most_urgent: true,
-            looks: rules.waits.then_some(placing.looks),
+            rechecks: rules.waits.then_some(placing.looks),
         };
         match place::admit(best, room, &mut self.rng) {
-            Verdict::Wait(pause) => Step::Wait(pause),
-            Verdict::Refuse { come_back } => Step::Refuse { come_back },
-            Verdict::Send => Step::Send {
+            Decision::Wait(pause) => Step::Wait(pause),
+            Decision::Refuse { retry_after } => Step::Refuse { retry_after },
+            Decision::Send => Step::Send {
                 upstream: number(best.index),
                 unhindered: is_unhindered(pool, best, rules, now),
             },
@@ -148,31 +150,38 @@
         load: place::Load,
         now: Instant,
     ) {
-        self.pools[kind].take_report(&incarnation(upstream), Some(load), now);
+        self.pools[kind].record_report(&incarnation(upstream), Some(load), now);
     }
 
     pub(crate) fn sent(&mut self, kind: usize, upstream: usize) {
-        self.pools[kind].sent(&incarnation(upstream));
+        self.pools[kind].record_sent(&incarnation(upstream));
     }
 
-    pub(crate) fn ended(&mut self, kind: usize, upstream: usize, end: place::End, now: Instant) {
-        self.pools[kind].ended(&incarnation(upstream), end, now);
+    pub(crate) fn ended(
+        &mut self,
+        kind: usize,
+        upstream: usize,
+        end: place::RequestOutcome,
+        now: Instant,
+    ) {
+        self.pools[kind].record_outcome(&incarnation(upstream), end, now);
     }
 
     /// Takes what an answer tells of the work.
     pub(crate) fn learn(&mut self, kind: &Kind, took: Duration, unhindered: bool) {
-        self.works.sample_size(&kind.name, kind.answer_bytes);
+        self.works.record_size(&kind.name, kind.answer_bytes);
         if unhindered {
-            self.works.sample(&kind.name, kind.objective, took);
+            self.works.record_work(&kind.name, kind.objective, took);
         }
     }
 }
 
 fn is_unhindered(pool: &Pool, best: &Candidate, rules: &Rules, now: Instant) -> bool {
     let report = pool.upstreams()[best.index].report(now);
-    let at_its_best = report.is_some_and(|(load, _)| load.is_not_slowed() && load.has_room());
-    let uncrowded = !best.prediction.crowded || !rules.learns_uncrowded;
-    best.fresh && uncrowded && at_its_best
+    let at_its_best =
+        report.is_some_and(|(load, _)| load.is_at_usual_speed() && load.has_free_slot());
+    let uncrowded = !best.prediction.nearly_full || !rules.learns_uncrowded;
+    best.has_fresh_report && uncrowded && at_its_best
 }
 
 fn number_of(incarnation: &Incarnation) -> usize {
--- a/crates/sim/src/run.rs
+++ b/crates/sim/src/run.rs
@@ -202,7 +202,7 @@
                 request.looks += 1;
                 self.at(now + pause, index, Event::Place { ask_rounds: 1 });
             }
-            Step::Refuse { come_back } => self.refused(index, come_back, now),
+            Step::Refuse { retry_after } => self.refused(index, retry_after, now),
             Step::Send { upstream, unhindered } => {
                 (request.upstream, request.unhindered, request.sent_at) =
                     (upstream, unhindered, now);
@@ -241,7 +241,7 @@
             Taken::Refused => {
                 let (kind, node) = (request.kind, request.node);
                 let node = &mut self.nodes[node];
-                node.ended(kind, upstream, place::End::Refused, self.base + now);
+                node.ended(kind, upstream, place::RequestOutcome::Refused, self.base + now);
                 self.refused(index, COME_BACK, now);
             }
         }
@@ -265,8 +265,8 @@
         let node = &mut self.nodes[request.node];
         let load = self.upstreams[upstream].load(self.scenario, now);
         node.take_report(kind, upstream, load, self.base + now);
-        node.ended(kind, upstream, place::End::Answered, self.base + now);
-        let unhindered = request.unhindered && load.is_not_slowed();
+        node.ended(kind, upstream, place::RequestOutcome::Answered, self.base + now);
+        let unhindered = request.unhindered && load.is_at_usual_speed();
         node.learn(settings, now - request.sent_at, unhindered);
         let got_at = now + TO_NODE;
         let in_burst = self
