--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -425,7 +425,7 @@
         // Whole percents, rounded down: up, the part that is left out would be used too.
         let percent = self.settings.retry_ratio * part * 100.0 + ROUNDING;
         let sends = self.sends(service);
-        sends.budget.first_send(percent as u64);
+        sends.budget.deposit(percent as u64);
         sends.rate.count(Instant::now());
     }
 
@@ -437,7 +437,7 @@
     /// Takes one second send out of the budget; false when none is left.
     pub fn second_send(&mut self, service: &ServiceName) -> bool {
         let sends = self.sends(service);
-        let allowed = sends.budget.second_send();
+        let allowed = sends.budget.try_withdraw();
         if !allowed {
             sends.short_at = Some(Instant::now());
         }
@@ -453,7 +453,7 @@
     pub fn hedge(&mut self, service: &ServiceName) -> bool {
         let sends = self.sends(service);
         let was_short = sends.short_at.is_some_and(|at| at.elapsed() < HEDGES_YIELD_FOR);
-        let allowed = !was_short && sends.budget.second_send();
+        let allowed = !was_short && sends.budget.try_withdraw();
         if allowed {
             self.counters.second_sends += 1;
             self.counters.hedges += 1;
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -1,12 +1,12 @@
-//! What an entry node takes on for one service.
+//! Admission control of an entry node for one service.
 //!
-//! [`Limiter`] bounds the calls in flight by what the upstreams have shown
-//! they can take, and shares that bound fairly between teams. [`RetryBudget`]
-//! bounds how many calls are sent a second time. Both are pure: no clock of
-//! their own, the time is passed in.
+//! [`Limiter`] limits the calls in flight to what the upstreams have shown
+//! they can take, and shares that limit fairly between teams. [`RetryBudget`]
+//! limits how many calls are sent a second time. Neither reads a clock: the
+//! caller passes the time in.
 
 mod limiter;
 mod retry;
 
-pub use limiter::{Ended, Limiter};
+pub use limiter::{Limiter, Outcome};
 pub use retry::RetryBudget;
--- a/crates/limit/src/limiter.rs
+++ b/crates/limit/src/limiter.rs
@@ -1,62 +1,63 @@
-//! The bound on calls in flight of one service at one entry node.
+//! Adaptive concurrency limit of one service at one entry node.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use smol_str::SmolStr;
 
-/// The bound is lifted when nothing has spoken for it in this long. It must
-/// not refuse a sudden rise that the upstreams have room for: a bound that
-/// started at 16 refused 4 of 16,000 calls at idle upstreams when the rate
-/// went from 1,000 to 4,000 a second.
-const IN_FORCE_FOR: Duration = Duration::from_secs(30);
+/// The limit is lifted this long after the last decrease. A limit without
+/// recent evidence refuses calls that the upstreams have room for when the
+/// rate rises suddenly: starting at 16 refused 4 of 16,000 calls at idle
+/// upstreams when the rate went from 1,000 to 4,000 per second.
+const LIMIT_TTL: Duration = Duration::from_secs(30);
 
-/// The bound never falls below this: a trickle must go on to find out that
-/// the upstreams take calls again.
+/// Lowest limit. A few calls must go on, or the node never learns that the
+/// upstreams accept calls again.
 const MIN_LIMIT: f64 = 2.0;
 
-/// The bound never grows beyond this, in calls in flight on one node.
+/// Highest limit, in calls in flight on one node.
 const MAX_LIMIT: f64 = 65_536.0;
 
-/// Factor on the bound when the upstreams refused a call.
-const CUT: f64 = 0.8;
+/// Factor by which a decrease multiplies the calls in flight to get the new limit.
+const DECREASE_FACTOR: f64 = 0.8;
 
-/// Share of slow calls from which on the upstreams are taken for full. One
-/// straggler among many must not be.
-const SLOW_SHARE: f64 = 0.3;
+/// Ratio of slow calls at which the upstreams count as full; a single slow
+/// upstream among many stays below it.
+const MAX_SLOW_RATIO: f64 = 0.3;
 
-/// Weight of the newest call in the share of slow calls.
-const SLOW_WEIGHT: f64 = 0.05;
+/// Weight of the newest call in the moving average of slow calls.
+const SLOW_RATIO_WEIGHT: f64 = 0.05;
 
-/// Share of the bound from which on it is considered used and may grow.
-const USED: f64 = 0.8;
+/// Ratio of calls in flight to the limit at which the limit may increase.
+const MIN_UTILIZATION_RATIO: f64 = 0.8;
 
-/// Around the level of the last refusal the bound grows this much slower: going
-/// there again costs refusals, most of them of calls that did nothing wrong.
-const CAUTION: f64 = 0.1;
+/// Step of an increase near the level of the last decrease, where 1 is the
+/// usual step: reaching that level again gets calls refused, most of which
+/// did not cause the overload.
+const CAUTIOUS_STEP: f64 = 0.1;
 
-/// The levels, relative to the last refusal, between which it grows with caution;
-/// beyond, there is evidently more room than there was.
-const CAUTIOUS_BETWEEN: (f64, f64) = (0.8, 1.2);
+/// Range in which the limit increases by [`CAUTIOUS_STEP`], as a ratio to the
+/// level of the last decrease; above it, the upstreams have more room than before.
+const CAUTIOUS_RANGE: (f64, f64) = (0.8, 1.2);
 
-/// Share of the bound kept for teams below their fair share, and the least
-/// number of calls that is.
-const KEPT: (f64, f64) = (0.1, 1.0);
+/// Part of the limit reserved for teams below their fair share: its ratio to
+/// the limit, and its minimum in calls.
+const RESERVED_RATIO_AND_MIN_CALLS: (f64, f64) = (0.1, 1.0);
 
-/// A team counts as active this long after its last call.
-const ACTIVE_FOR: Duration = Duration::from_secs(1);
+/// A team counts as active until this long after its last call.
+const TEAM_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a call that was let in ended.
+/// Outcome of an admitted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// An upstream answered it in about the usual time.
+pub enum Outcome {
+    /// An upstream answered within about the usual time.
     Served,
-    /// An upstream answered it, but after several times the usual time: it
-    /// waited in a queue, or its upstream is slow.
+    /// An upstream answered after several times the usual time: the call
+    /// waited in a queue, or the upstream is slow.
     Slow,
-    /// Every upstream tried refused it: there is no room.
+    /// Every upstream tried refused the call because it is full.
     Refused,
-    /// Anything else; says nothing of the room there is.
+    /// Any other outcome; it does not affect the limit.
     Other,
 }
 
@@ -66,28 +67,32 @@
     last_call: Instant,
 }
 
-/// A bound on calls in flight, learned from refusals and shared between teams.
+/// Limits the calls in flight, learning from refusals and latencies, and
+/// shares the limit between teams.
 ///
-/// There is no bound until upstreams show that they are full. From then on it
-/// grows by one per bound's worth of served calls while it is used,
-/// more slowly near where it was last cut, and shrinks when they refuse or
-/// when many calls wait several times the usual time (additive increase, multiplicative decrease), so entry nodes that know nothing of each other settle on shares
-/// of the upstreams' room. A team may use whatever is free; when room is
-/// short, a team below its fair share is let in before one above it.
+/// There is no limit until upstreams show that they are full. After that the
+/// limit follows additive increase, multiplicative decrease: while it is
+/// used, it increases by one for each limit's worth of served calls, more
+/// slowly near the level of the last decrease. It decreases when
+/// upstreams refuse calls or many calls take several times the usual time.
+/// Entry nodes thereby converge on shares of the upstreams' capacity without
+/// talking to each other. A team may use any free capacity; when capacity is
+/// short, a team below its fair share is admitted before one above it.
 ///
-/// What goes wrong without it: one team's burst fills every queue, and the
-/// calls of quiet teams are refused or late in the same proportion. It shows
-/// as errors of teams whose own rate did not change.
+/// Without it, a burst of one team fills every queue, and calls of quiet
+/// teams are refused or late in the same proportion. The symptom is errors
+/// for teams whose own rate did not change.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     limit: f64,
     in_flight: u32,
     teams: HashMap<SmolStr, Team>,
-    last_cut: Option<Instant>,
-    /// Share of slow calls among those let in since the last cut.
-    slow_share: f64,
-    /// Calls in flight when the upstreams last refused one.
-    refused_at: Option<f64>,
+    last_decrease: Option<Instant>,
+    /// Moving average of slow calls among those admitted since the last decrease.
+    slow_ratio: f64,
+    /// Calls in flight at the last decrease, but at most the limit of that
+    /// time; `None` once the limit is well above it.
+    decrease_level: Option<f64>,
 }
 
 impl Default for Limiter {
@@ -96,62 +101,67 @@
             limit: MAX_LIMIT,
             in_flight: 0,
             teams: HashMap::new(),
-            last_cut: None,
-            slow_share: 0.0,
-            refused_at: None,
+            last_decrease: None,
+            slow_ratio: 0.0,
+            decrease_level: None,
         }
     }
 }
 
 impl Limiter {
-    /// Lets a call of `team` in, or returns false: it must be refused at once.
+    /// Admits a call of `team` and returns true, or returns false if the call
+    /// must be refused at once.
     ///
-    /// A call let in must be ended with [`Limiter::end`].
-    pub fn begin(&mut self, team: &str, now: Instant) -> bool {
-        self.teams.retain(|_, t| t.in_flight > 0 || now.duration_since(t.last_call) < ACTIVE_FOR);
-        let mine = self.teams.get(team).map_or(0, |t| t.in_flight);
-        let active = self.teams.len() + usize::from(!self.teams.contains_key(team));
-        let fair_share = (self.limit / active as f64).max(1.0);
-        let in_force = self.last_cut.is_some_and(|at| now.duration_since(at) < IN_FORCE_FOR);
-        if !in_force {
+    /// Every admitted call must be passed to [`Limiter::release`].
+    pub fn try_acquire(&mut self, team: &str, now: Instant) -> bool {
+        self.teams
+            .retain(|_, t| t.in_flight > 0 || now.duration_since(t.last_call) < TEAM_IDLE_TIMEOUT);
+        let team_in_flight = self.teams.get(team).map_or(0, |t| t.in_flight);
+        let active_teams = self.teams.len() + usize::from(!self.teams.contains_key(team));
+        let fair_share = (self.limit / active_teams as f64).max(1.0);
+        let is_limited = self.last_decrease.is_some_and(|at| now.duration_since(at) < LIMIT_TTL);
+        if !is_limited {
             self.limit = MAX_LIMIT;
         }
-        let room = match f64::from(mine) < fair_share {
-            // Even when others hold more than their share: theirs end, and are not let in again.
+        let is_admitted = match f64::from(team_in_flight) < fair_share {
+            // Admitted even if other teams hold more than their share: as their calls
+            // end, no more of them are admitted.
             true => true,
             false => {
-                let kept = (self.limit * KEPT.0).max(KEPT.1);
-                f64::from(self.in_flight) + 1.0 <= self.limit - kept
+                let reserved = (self.limit * RESERVED_RATIO_AND_MIN_CALLS.0)
+                    .max(RESERVED_RATIO_AND_MIN_CALLS.1);
+                f64::from(self.in_flight) + 1.0 <= self.limit - reserved
             }
         };
-        // A team that is refused is active too: its share must not go to those that crowd it out.
+        // A refused team counts as active too, or its share would go to the teams that
+        // crowd it out.
         let entry = self.teams.entry(team.into()).or_insert(Team { in_flight: 0, last_call: now });
         entry.last_call = now;
-        if room {
+        if is_admitted {
             entry.in_flight += 1;
             self.in_flight += 1;
         }
-        room
+        is_admitted
     }
 
-    /// Records how a call of `team` that was let in at `began` ended.
-    pub fn end(&mut self, team: &str, ended: Ended, began: Instant, now: Instant) {
-        let used = f64::from(self.in_flight) >= self.limit * USED;
-        // Calls let in before the last cut met the room as it was then: what they say was
-        // answered by that cut, and counting it again would cut the bound to nothing.
-        let counts = self.last_cut.is_none_or(|cut| began > cut);
-        if counts {
-            let slow = match ended {
-                Ended::Slow => 1.0,
-                Ended::Served => 0.0,
-                Ended::Refused | Ended::Other => self.slow_share,
+    /// Records the `outcome` of a call of `team` that was admitted at `started_at`.
+    pub fn release(&mut self, team: &str, outcome: Outcome, started_at: Instant, now: Instant) {
+        let is_utilized = f64::from(self.in_flight) >= self.limit * MIN_UTILIZATION_RATIO;
+        // Calls admitted before the last decrease met the load of that time, which the
+        // decrease already answered. Counting them again would shrink the limit to the minimum.
+        let is_current = self.last_decrease.is_none_or(|at| started_at > at);
+        if is_current {
+            let slow = match outcome {
+                Outcome::Slow => 1.0,
+                Outcome::Served => 0.0,
+                Outcome::Refused | Outcome::Other => self.slow_ratio,
             };
-            self.slow_share += SLOW_WEIGHT * (slow - self.slow_share);
+            self.slow_ratio += SLOW_RATIO_WEIGHT * (slow - self.slow_ratio);
         }
-        match ended {
-            Ended::Served if used => self.grow(),
-            Ended::Refused if counts => self.cut(now),
-            Ended::Slow if counts && self.slow_share >= SLOW_SHARE => self.cut(now),
+        match outcome {
+            Outcome::Served if is_utilized => self.increase(),
+            Outcome::Refused if is_current => self.decrease(now),
+            Outcome::Slow if is_current && self.slow_ratio >= MAX_SLOW_RATIO => self.decrease(now),
             _ => {}
         }
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -160,33 +170,33 @@
         }
     }
 
-    fn cut(&mut self, now: Instant) {
-        // From what is in flight, not from a bound that was never used.
-        let from = self.limit.min(f64::from(self.in_flight.max(1)));
-        self.refused_at = Some(from);
-        self.limit = (from * CUT).max(MIN_LIMIT);
-        self.last_cut = Some(now);
-        self.slow_share = 0.0;
+    fn decrease(&mut self, now: Instant) {
+        // Starts from the calls in flight: the limit may be far above what was ever used.
+        let level = self.limit.min(f64::from(self.in_flight.max(1)));
+        self.decrease_level = Some(level);
+        self.limit = (level * DECREASE_FACTOR).max(MIN_LIMIT);
+        self.last_decrease = Some(now);
+        self.slow_ratio = 0.0;
     }
 
-    fn grow(&mut self) {
-        let step = match self.refused_at {
-            Some(level) if self.limit > level * CAUTIOUS_BETWEEN.1 => {
-                self.refused_at = None;
+    fn increase(&mut self) {
+        let step = match self.decrease_level {
+            Some(level) if self.limit > level * CAUTIOUS_RANGE.1 => {
+                self.decrease_level = None;
                 1.0
             }
-            Some(level) if self.limit > level * CAUTIOUS_BETWEEN.0 => CAUTION,
+            Some(level) if self.limit > level * CAUTIOUS_RANGE.0 => CAUTIOUS_STEP,
             _ => 1.0,
         };
         self.limit = (self.limit + step / self.limit).min(MAX_LIMIT);
     }
 
-    /// Returns the bound on calls in flight now.
+    /// Returns the current limit on calls in flight.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Returns the calls in flight now.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
--- a/crates/limit/src/retry.rs
+++ b/crates/limit/src/retry.rs
@@ -1,49 +1,49 @@
-//! The budget of sending calls a second time.
+//! Retry budget: limits how many calls are sent a second time.
 
-/// Second sends allowed beyond the share, so that a quiet service may retry at all.
-const BURST: f64 = 10.0;
+/// Default burst: retries allowed beyond the ratio, so that a service with few calls can retry.
+const DEFAULT_BURST: f64 = 10.0;
 
-/// A share of the calls, saved up to a burst.
+/// A token bucket for retries: each first send adds a fraction of a token, each retry takes one.
 ///
-/// What goes wrong without it: upstreams that are slow or full make every
-/// call fail, every entry node sends every call again, and the second wave
-/// keeps the upstreams full after the cause is gone. It shows as upstream
-/// load at a multiple of the callers' rate.
+/// Without it, upstreams that are slow or full make every call fail, every
+/// entry node sends every call again, and the retries keep the upstreams full
+/// after the cause is gone. The symptom is upstream load at a multiple of the
+/// callers' rate.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    saved: f64,
-    most: f64,
+    tokens: f64,
+    max_tokens: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget::with_burst(BURST)
+        RetryBudget::with_burst(DEFAULT_BURST)
     }
 }
 
 impl RetryBudget {
-    /// Creates a budget that saves up `burst` second sends at most, and begins with them.
+    /// Creates a full budget that holds at most `burst` retries.
     pub fn with_burst(burst: f64) -> RetryBudget {
-        RetryBudget { saved: burst, most: burst }
+        RetryBudget { tokens: burst, max_tokens: burst }
     }
 
-    /// Changes how many second sends are saved up at most.
+    /// Sets how many retries the budget holds at most; an excess is dropped.
     pub fn set_burst(&mut self, burst: f64) {
-        self.most = burst;
-        self.saved = self.saved.min(burst);
+        self.max_tokens = burst;
+        self.tokens = self.tokens.min(burst);
     }
 
-    /// Counts a call that was sent for the first time, of which `percent` percent may be sent again.
-    pub fn first_send(&mut self, percent: u64) {
-        self.saved = (self.saved + percent as f64 / 100.0).min(self.most);
+    /// Records the first send of a call, which adds `percent` / 100 of a retry to the budget.
+    pub fn deposit(&mut self, percent: u64) {
+        self.tokens = (self.tokens + percent as f64 / 100.0).min(self.max_tokens);
     }
 
-    /// Takes one second send out of the budget; returns false when none is left.
-    pub fn second_send(&mut self) -> bool {
-        let allowed = self.saved >= 1.0;
-        if allowed {
-            self.saved -= 1.0;
+    /// Takes one retry from the budget; returns false if less than one is left.
+    pub fn try_withdraw(&mut self) -> bool {
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
+            self.tokens -= 1.0;
         }
-        allowed
+        is_allowed
     }
 }
--- a/crates/oatcoved/src/proxy/forward.rs
+++ b/crates/oatcoved/src/proxy/forward.rs
@@ -83,11 +83,11 @@
     service: &'a SmolStr,
     team: &'a SmolStr,
     began: Instant,
-    ended: limit::Ended,
+    ended: limit::Outcome,
 }
 
 impl TakenIn<'_> {
-    fn end(mut self, ended: limit::Ended) {
+    fn end(mut self, ended: limit::Outcome) {
         self.ended = ended;
     }
 }
@@ -95,7 +95,7 @@
 impl Drop for TakenIn<'_> {
     fn drop(&mut self) {
         if let Some(intake) = self.node.intakes.borrow_mut().get_mut(self.service) {
-            intake.limiter.end(self.team, self.ended, self.began, Instant::now());
+            intake.limiter.release(self.team, self.ended, self.began, Instant::now());
         }
     }
 }
@@ -140,11 +140,11 @@
         let ended = self.attempts(&call).await;
         let took = taken_in.began.elapsed();
         taken_in.end(match &ended {
-            Ended::Answered(_) if self.was_slow(&call, took) => limit::Ended::Slow,
-            Ended::Answered(_) => limit::Ended::Served,
-            Ended::NotRun { refused: true } => limit::Ended::Refused,
+            Ended::Answered(_) if self.was_slow(&call, took) => limit::Outcome::Slow,
+            Ended::Answered(_) => limit::Outcome::Served,
+            Ended::NotRun { refused: true } => limit::Outcome::Refused,
             Ended::NotRun { refused: false } | Ended::HeldBack(_) | Ended::Unknown(_) => {
-                limit::Ended::Other
+                limit::Outcome::Other
             }
         });
         let mut view = self.view.borrow_mut();
@@ -233,16 +233,16 @@
         let mut intakes = self.intakes.borrow_mut();
         let intake = intakes.entry(call.service.clone()).or_default();
         let began = Instant::now();
-        if !intake.limiter.begin(&call.team, began) {
+        if !intake.limiter.try_acquire(&call.team, began) {
             return None;
         }
-        intake.retries.first_send(call.params.retry_budget_percent);
+        intake.retries.deposit(call.params.retry_budget_percent);
         Some(TakenIn {
             node: self,
             service: &call.service,
             team: &call.team,
             began,
-            ended: limit::Ended::Other,
+            ended: limit::Outcome::Other,
         })
     }
 
@@ -326,7 +326,7 @@
     fn second_send(&self, call: &Call<'_>) -> bool {
         let mut intakes = self.intakes.borrow_mut();
         let intake = intakes.entry(call.service.clone()).or_default();
-        let allowed = intake.retries.second_send();
+        let allowed = intake.retries.try_withdraw();
         let mut view = self.view.borrow_mut();
         match allowed {
             true => view.counters.retries += 1,
