--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -1,16 +1,17 @@
-//! Choice of upstream for one call.
+//! Selection of an upstream for a call.
 //!
-//! [`Pool`] holds what one entry node knows of one service's upstreams and
-//! picks the one with the lowest expected [`cost`](Upstream::cost) of a
-//! sample: calls it has outstanding there (exact) times how slow the
-//! upstream's answers were compared with the same kind of call elsewhere (its
-//! own observation). Load that upstreams report is not used: it is stale when
-//! it arrives, and going by it made tails longer (docs/design/choice-of-upstream.md).
+//! [`Pool`] holds the state of one service's upstreams as one entry node sees
+//! them, and picks the upstream with the lowest expected
+//! [`cost`](Upstream::cost) in a sample. The cost is the number of calls this
+//! node has outstanding at the upstream, times the ratio of the upstream's
+//! latency to the mean latency of the same kind of call. The load that
+//! upstreams report is not used: it is stale when it arrives, and using it
+//! made tail latencies longer (docs/design/choice-of-upstream.md).
 //!
-//! Whether an upstream may be picked at all is its [`Tier`]: refusals,
-//! watchers' reports and repeated failures move it down, and a lower tier is
-//! used only when a better one is empty. Only upstreams that are leaving are
-//! never picked.
+//! Whether an upstream may be picked at all depends on its [`Tier`]: refusals,
+//! watchers' reports and repeated failures put it in a lower tier, and a lower
+//! tier is used only when the better ones are empty. Only leaving upstreams
+//! are never picked.
 
 mod pick;
 mod upstream;
@@ -21,76 +22,78 @@
 
 use smol_str::SmolStr;
 
-pub use pick::{Ask, Policy};
-pub use upstream::{Report, Standing, Tier, Upstream};
+pub use pick::{Policy, SelectionCriteria};
+pub use upstream::{Health, Tier, Upstream, UpstreamState};
 
 /// Weight of the newest answer in the mean latency of its kind of call.
-const KIND_WEIGHT: f64 = 0.05;
+const MEAN_LATENCY_WEIGHT: f64 = 0.05;
 
-/// Kinds of call told apart per service; those that come later share one mean.
+/// Kinds of call that each have their own latencies; further kinds share those of
+/// [`OVERFLOW_KIND`].
 ///
-/// A first version kept 32 means and took kinds modulo that: two kinds that
-/// shared a number made every upstream with heavy calls look slow, and all
-/// heavy calls were hedged (docs/bench/policy.md).
-const KINDS_MOST: usize = 256;
+/// Kinds are not taken modulo a fixed number: when a light and a heavy kind
+/// share a mean, every upstream that serves heavy calls looks slow, and all
+/// heavy calls are hedged.
+const MAX_KINDS: usize = 256;
 
-/// The kind that kinds beyond [`KINDS_MOST`] are counted as.
-const OTHER_KINDS: Kind = 0;
+/// The kind under which kinds beyond [`MAX_KINDS`] are counted.
+const OVERFLOW_KIND: CallKind = 0;
 
 /// Index of an upstream within its pool.
 pub type UpstreamIndex = usize;
 
-/// Number of a kind of call, such as a hash of its method and path; equal numbers are one kind.
-pub type Kind = u64;
+/// Number of a kind of call, such as a hash of its method and path; calls with equal numbers
+/// are expected to take equally long.
+pub type CallKind = u64;
 
-/// How a call to an upstream ended.
+/// Outcome of a call to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
-    /// A whole answer came.
+pub enum Outcome {
+    /// The upstream sent a whole answer.
     Answered,
-    /// The upstream refused it before running it: it is full or leaving, not broken.
+    /// The upstream refused the call before running it: it is full or leaving, not broken.
     Refused,
-    /// No whole answer came, or one that says the upstream is broken.
+    /// No whole answer arrived, or one that says the upstream is broken.
     Failed,
-    /// The call was given up before the upstream answered: another upstream
-    /// was quicker, or the caller went away.
-    GivenUp,
+    /// The call was cancelled before the upstream answered: another upstream
+    /// was faster, or the caller went away.
+    Cancelled,
 }
 
-/// The end of a call to an upstream.
+/// A call to an upstream that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Finished {
-    /// How it ended.
-    pub how: How,
-    /// How long it took until then.
-    pub took: Duration,
-    /// What kind of call it was.
-    pub kind: Kind,
+pub struct Completion {
+    /// Outcome of the call.
+    pub outcome: Outcome,
+    /// Time from sending the call until it ended.
+    pub elapsed: Duration,
+    /// Kind of the call.
+    pub kind: CallKind,
 }
 
-/// A latency that follows lower samples quickly and forgets them slowly.
+/// An estimate of a kind's lowest latency, which follows lower samples quickly and rises slowly.
 #[derive(Clone, Copy, Debug)]
-struct Floor {
+struct BaselineLatency {
     us: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
-impl Floor {
-    /// The floor doubles in this time when no sample confirms it.
-    const DOUBLES_IN: Duration = Duration::from_secs(60);
+impl BaselineLatency {
+    /// The estimate doubles in this time when no sample confirms it.
+    const DOUBLING_TIME: Duration = Duration::from_secs(60);
 
-    /// Weight of a sample below the floor.
+    /// Weight of a sample below the estimate.
     const WEIGHT: f64 = 0.1;
 
-    fn at(&self, now: Instant) -> f64 {
-        let age = now.duration_since(self.at).as_secs_f64();
-        self.us * 2f64.powf(age / Self::DOUBLES_IN.as_secs_f64())
+    fn us_at(&self, now: Instant) -> f64 {
+        let age = now.duration_since(self.updated_at).as_secs_f64();
+        self.us * 2f64.powf(age / Self::DOUBLING_TIME.as_secs_f64())
     }
 
-    fn sample(&mut self, took_us: f64, now: Instant) {
-        let floor = self.at(now);
-        self.us = floor + Self::WEIGHT * (took_us.min(floor) - floor);
-        self.at = now;
+    fn sample(&mut self, elapsed_us: f64, now: Instant) {
+        let baseline_us = self.us_at(now);
+        self.us = baseline_us + Self::WEIGHT * (elapsed_us.min(baseline_us) - baseline_us);
+        self.updated_at = now;
     }
 }
 
@@ -100,124 +103,135 @@
     /// Upstreams in a stable order; indexes stay valid until [`Pool::set_members`].
     pub upstreams: Vec<Upstream>,
     /// Mean latency per kind of call over all upstreams, in microseconds.
-    kind_mean_us: HashMap<Kind, f64>,
-    /// Latency per kind of call when nothing waits: falls fast, rises slowly.
-    kind_floor_us: HashMap<Kind, Floor>,
-    /// Next upstream in turn, for [`Policy::RoundRobin`].
-    turn: usize,
+    mean_latency_us: HashMap<CallKind, f64>,
+    /// Latency per kind of call without queueing; falls quickly, rises slowly.
+    baseline_latency: HashMap<CallKind, BaselineLatency>,
+    /// Index from which [`Policy::RoundRobin`] searches for its next pick.
+    next_index: usize,
 }
 
 impl Pool {
-    /// Replaces the membership with `members`, keeping history of those that stay.
-    pub fn set_members(&mut self, members: &[(SocketAddr, SmolStr, Standing)]) {
+    /// Replaces the membership with `members` and keeps the state of upstreams that remain.
+    pub fn set_members(&mut self, members: &[(SocketAddr, SmolStr, UpstreamState)]) {
         let mut next = Vec::with_capacity(members.len());
-        for (addr, zone, standing) in members {
+        for (addr, zone, state) in members {
             let mut upstream = match self.upstreams.iter().position(|u| u.addr == *addr) {
                 Some(index) => self.upstreams.swap_remove(index),
                 None => Upstream::new(*addr, zone.clone()),
             };
-            // An address can come back on a new VM in another zone after a
-            // replacement; keeping the old zone would send zone-local calls
-            // across zones and no test of latency would say why.
+            // After a replacement, an address can belong to a new VM in another zone. With
+            // the old zone, zone-local calls would cross zones, and no latency would show why.
             upstream.zone = zone.clone();
-            upstream.standing = *standing;
+            upstream.state = *state;
             next.push(upstream);
         }
         self.upstreams = next;
     }
 
-    /// Marks the upstream at `addr` as leaving; returns false when it is not in the pool.
+    /// Marks the upstream at `addr` as leaving; returns false if it is not in the pool.
     pub fn mark_leaving(&mut self, addr: SocketAddr) -> bool {
         match self.upstreams.iter_mut().find(|u| u.addr == addr) {
             Some(upstream) => {
-                upstream.standing = Standing::Leaving;
+                upstream.state = UpstreamState::Leaving;
                 true
             }
             None => false,
         }
     }
 
-    /// Records what watchers say of the upstream at `addr`.
-    pub fn set_report(&mut self, addr: SocketAddr, report: Report) {
+    /// Records what watchers report about the upstream at `addr`; does nothing if it is not in
+    /// the pool.
+    pub fn set_health(&mut self, addr: SocketAddr, health: Health) {
         if let Some(upstream) = self.upstreams.iter_mut().find(|u| u.addr == addr) {
-            upstream.report = report;
+            upstream.health = health;
         }
     }
 
-    /// Returns the index of the upstream at `addr`, if it is in the pool.
+    /// Returns the index of the upstream at `addr`, or `None` if it is not in the pool.
     ///
-    /// Indexes change when membership changes, so a caller that awaited
-    /// between [`Pool::pick`] and [`Pool::finish`] looks its upstream up again.
+    /// Indexes change when the membership changes, so a caller that awaits
+    /// between [`Pool::pick`] and [`Pool::finish`] must look up the index again.
     pub fn position(&self, addr: SocketAddr) -> Option<UpstreamIndex> {
         self.upstreams.iter().position(|u| u.addr == addr)
     }
 
-    /// Returns the mean latency of calls of `kind` over all upstreams, once one was answered.
-    pub fn kind_mean(&self, kind: Kind) -> Option<Duration> {
-        let mean_us = self.kind_mean_us.get(&self.known_kind(kind))?;
+    /// Returns the mean latency of calls of `kind` over all upstreams, or `None` before the first
+    /// answer.
+    pub fn mean_latency(&self, kind: CallKind) -> Option<Duration> {
+        let mean_us = self.mean_latency_us.get(&self.tracked_kind(kind))?;
         Some(Duration::from_secs_f64(mean_us / 1e6))
     }
 
-    /// Returns how long calls of `kind` take when nothing waits, once one was answered.
-    pub fn kind_floor(&self, kind: Kind, now: Instant) -> Option<Duration> {
-        let floor = self.kind_floor_us.get(&self.known_kind(kind))?;
-        Some(Duration::from_secs_f64(floor.at(now) / 1e6))
+    /// Returns the latency of calls of `kind` without queueing, or `None` before the first answer.
+    pub fn baseline_latency(&self, kind: CallKind, now: Instant) -> Option<Duration> {
+        let baseline = self.baseline_latency.get(&self.tracked_kind(kind))?;
+        Some(Duration::from_secs_f64(baseline.us_at(now) / 1e6))
     }
 
-    /// Returns `kind`, or the shared one when there are too many to tell apart.
-    fn known_kind(&self, kind: Kind) -> Kind {
-        let full = self.kind_mean_us.len() >= KINDS_MOST;
-        match full && !self.kind_mean_us.contains_key(&kind) {
-            true => OTHER_KINDS,
+    /// Returns `kind`, or [`OVERFLOW_KIND`] if `kind` is new and there are too many already.
+    fn tracked_kind(&self, kind: CallKind) -> CallKind {
+        let is_full = self.mean_latency_us.len() >= MAX_KINDS;
+        match is_full && !self.mean_latency_us.contains_key(&kind) {
+            true => OVERFLOW_KIND,
             false => kind,
         }
     }
 
-    /// Records that a call was sent to `index`.
+    /// Records that a call was sent to the upstream at `index`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if `index` is out of range.
     pub fn start(&mut self, index: UpstreamIndex) {
         self.upstreams[index].outstanding += 1;
     }
 
-    /// Records the end of a call to `index`.
-    pub fn finish(&mut self, index: UpstreamIndex, finished: Finished, now: Instant) {
-        let may_eject = finished.how == How::Failed && self.may_eject(index, now);
-        let kind = self.known_kind(finished.kind);
+    /// Records the end of a call to the upstream at `index`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if `index` is out of range.
+    pub fn finish(&mut self, index: UpstreamIndex, completion: Completion, now: Instant) {
+        let may_eject = completion.outcome == Outcome::Failed && self.may_eject(index, now);
+        let kind = self.tracked_kind(completion.kind);
         let upstream = &mut self.upstreams[index];
         upstream.outstanding = upstream.outstanding.saturating_sub(1);
-        let took_us = (finished.took.as_secs_f64() * 1e6).max(1.0);
-        match finished.how {
-            How::Answered => {
-                let mean_us = self.kind_mean_us.entry(kind).or_insert(took_us);
-                *mean_us += KIND_WEIGHT * (took_us - *mean_us);
-                let floor = self.kind_floor_us.entry(kind);
-                floor.or_insert(Floor { us: took_us, at: now }).sample(took_us, now);
-                upstream.answered(took_us, took_us / *mean_us, now);
+        let elapsed_us = (completion.elapsed.as_secs_f64() * 1e6).max(1.0);
+        match completion.outcome {
+            Outcome::Answered => {
+                let mean_us = self.mean_latency_us.entry(kind).or_insert(elapsed_us);
+                *mean_us += MEAN_LATENCY_WEIGHT * (elapsed_us - *mean_us);
+                let baseline = self.baseline_latency.entry(kind);
+                baseline
+                    .or_insert(BaselineLatency { us: elapsed_us, updated_at: now })
+                    .sample(elapsed_us, now);
+                upstream.record_answer(elapsed_us, elapsed_us / *mean_us, now);
             }
-            How::Refused => upstream.refused(now),
-            How::Failed | How::GivenUp => {
-                if let Some(mean_us) = self.kind_mean_us.get(&kind) {
-                    upstream.took_at_least(took_us / mean_us, now);
+            Outcome::Refused => upstream.record_refusal(now),
+            Outcome::Failed | Outcome::Cancelled => {
+                if let Some(mean_us) = self.mean_latency_us.get(&kind) {
+                    upstream.record_min_slowness(elapsed_us / mean_us, now);
                 }
-                if finished.how == How::Failed {
-                    upstream.failed(may_eject, now);
+                if completion.outcome == Outcome::Failed {
+                    upstream.record_failure(may_eject, now);
                 }
             }
         }
     }
 
-    /// Returns true when ejecting `index` leaves at least half of the live upstreams in.
+    /// Returns true if at least half of the live upstreams remain after ejecting `index`.
     ///
-    /// Without this bound an overload, in which every upstream times out,
-    /// would eject them all and turn a slow service into one that is down.
+    /// Without this limit an overload, in which calls to every upstream time
+    /// out, would eject them all and turn a slow service into an unavailable one.
     fn may_eject(&self, index: UpstreamIndex, now: Instant) -> bool {
-        let live = self.upstreams.iter().filter(|u| u.standing == Standing::Live).count();
-        let out = self
+        let live_count = self.upstreams.iter().filter(|u| u.state == UpstreamState::Live).count();
+        let ejected_count = self
             .upstreams
             .iter()
             .enumerate()
             .filter(|(i, u)| *i != index && u.tier(now) == Some(Tier::Ejected))
             .count();
-        2 * (out + 1) <= live
+        2 * (ejected_count + 1) <= live_count
     }
 }
 
--- a/crates/balance/src/model_tests.rs
+++ b/crates/balance/src/model_tests.rs
@@ -1,10 +1,11 @@
-//! Stateful fuzzing of [`Pool`] against a simple model.
+//! Model-based test of [`Pool`].
 //!
-//! The model keeps, per address, only what the rules say: zone, leaving,
-//! report, outstanding calls, failures and refusals. After every step the
-//! pool must agree with it, and every pick must be one the rules allow: of
-//! the best tier there is, and in the own zone unless that costs twice as
-//! much as elsewhere.
+//! The model keeps, per address, only what the rules need: zone, leaving,
+//! health, outstanding calls, answers, failures, ejections and refusals. After
+//! every step the pool must agree with the model, and every pick must follow
+//! the rules: it is of the best tier that is not empty and, with zone
+//! affinity, in the caller's zone unless that costs more than twice as much
+//! as elsewhere.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,13 +15,13 @@
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use rand::SeedableRng;
 
-use crate::pick::SPILL_RATIO;
-use crate::{Ask, Finished, How, Policy, Pool, Report, Standing, Tier};
+use crate::pick::SPILLOVER_COST_RATIO;
+use crate::{Completion, Health, Outcome, Policy, Pool, SelectionCriteria, Tier, UpstreamState};
 
-/// Few addresses, so that sequences reach ejections, trials and what comes after.
+/// Few ports, so that sequences reach ejections, trial calls and the state after them.
 const PORTS: std::ops::Range<u16> = 1..5;
-/// Calls outstanding at one upstream at most.
-const MOST_OUTSTANDING: u32 = 3;
+/// Number of calls outstanding at which an upstream gets no more.
+const MAX_OUTSTANDING: u32 = 3;
 
 const ZONES: [&str; 2] = ["a", "b"];
 
@@ -28,9 +29,9 @@
 enum Op {
     SetMembers(Vec<(u16, usize, bool)>),
     MarkLeaving(u16),
-    Report(u16, Report),
+    SetHealth(u16, Health),
     Start(u16),
-    Finish(u16, Finished),
+    Finish(u16, Completion),
     Pick { zone: usize, affinity: bool, policy: Policy, tried: Vec<u16>, seed: u64 },
     Advance(u64),
 }
@@ -39,10 +40,10 @@
 struct Member {
     zone: usize,
     leaving: bool,
-    report: Report,
+    health: Health,
     outstanding: u32,
-    failures: u32,
-    ejections: u32,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     ejected_until_ms: Option<u64>,
     refused_until_ms: Option<u64>,
     answered_at_ms: Option<u64>,
@@ -57,13 +58,13 @@
 impl Model {
     fn tier(&self, port: u16) -> Option<Tier> {
         let m = &self.members[&port];
-        let ejected = m.ejected_until_ms.is_some_and(|until| until > self.now_ms);
-        let answered_lately = m.answered_at_ms.is_some_and(|at| self.now_ms - at < 2_000);
+        let is_ejected = m.ejected_until_ms.is_some_and(|until| until > self.now_ms);
+        let has_recent_answer = m.answered_at_ms.is_some_and(|at| self.now_ms - at < 2_000);
         match () {
-            _ if m.leaving || m.report == Report::Draining => None,
+            _ if m.leaving || m.health == Health::Draining => None,
             _ if m.ejected_until_ms.is_some() && m.outstanding > 0 => None,
-            _ if ejected => Some(Tier::Ejected),
-            _ if m.report == Report::Failing && !answered_lately => Some(Tier::Failing),
+            _ if is_ejected => Some(Tier::Ejected),
+            _ if m.health == Health::Failing && !has_recent_answer => Some(Tier::Failing),
             _ if m.refused_until_ms.is_some_and(|until| until > self.now_ms) => {
                 Some(Tier::Refusing)
             }
@@ -72,40 +73,41 @@
     }
 
     fn fail(&mut self, port: u16) {
-        let live = self.members.values().filter(|m| !m.leaving).count();
-        let out = self
+        let live_count = self.members.values().filter(|m| !m.leaving).count();
+        let ejected_count = self
             .members
             .keys()
             .filter(|p| **p != port && self.tier(**p) == Some(Tier::Ejected))
             .count();
         let now = self.now_ms;
         let m = self.members.get_mut(&port).expect("precondition");
-        m.failures += 1;
-        let trial = m.ejected_until_ms.is_some_and(|until| until <= now);
-        if 2 * (out + 1) <= live && (trial || m.failures >= 3) {
-            m.ejected_until_ms = Some(now + (2_000 << m.ejections.min(8)).min(30_000));
-            m.ejections += 1;
-            m.failures = 0;
+        m.consecutive_failures += 1;
+        let is_failed_trial = m.ejected_until_ms.is_some_and(|until| until <= now);
+        if 2 * (ejected_count + 1) <= live_count && (is_failed_trial || m.consecutive_failures >= 3)
+        {
+            m.ejected_until_ms = Some(now + (2_000 << m.consecutive_ejections.min(8)).min(30_000));
+            m.consecutive_ejections += 1;
+            m.consecutive_failures = 0;
         }
     }
 }
 
-fn finished() -> impl Strategy<Value = Finished> {
-    let how = prop_oneof![
-        2 => Just(How::Answered),
-        1 => Just(How::GivenUp),
-        1 => Just(How::Refused),
-        6 => Just(How::Failed),
+fn completion() -> impl Strategy<Value = Completion> {
+    let outcome = prop_oneof![
+        2 => Just(Outcome::Answered),
+        1 => Just(Outcome::Cancelled),
+        1 => Just(Outcome::Refused),
+        6 => Just(Outcome::Failed),
     ];
-    (how, 1u64..100, 0u64..3).prop_map(|(how, ms, kind)| Finished {
-        how,
-        took: Duration::from_millis(ms),
+    (outcome, 1u64..100, 0u64..3).prop_map(|(outcome, ms, kind)| Completion {
+        outcome,
+        elapsed: Duration::from_millis(ms),
         kind,
     })
 }
 
-fn report() -> impl Strategy<Value = Report> {
-    prop_oneof![Just(Report::Good), Just(Report::Failing), Just(Report::Draining)]
+fn health() -> impl Strategy<Value = Health> {
+    prop_oneof![Just(Health::Healthy), Just(Health::Failing), Just(Health::Draining)]
 }
 
 fn pick() -> impl Strategy<Value = Op> {
@@ -136,9 +138,9 @@
             1 => prop::collection::btree_map(PORTS, (0..ZONES.len(), any::<bool>()), 0..5)
                 .prop_map(|m| Op::SetMembers(m.into_iter().map(|(p, (z, l))| (p, z, l)).collect())),
             1 => port.clone().prop_map(Op::MarkLeaving),
-            1 => (port.clone(), report()).prop_map(|(p, r)| Op::Report(p, r)),
+            1 => (port.clone(), health()).prop_map(|(p, h)| Op::SetHealth(p, h)),
             3 => port.clone().prop_map(Op::Start),
-            8 => (port.clone(), finished()).prop_map(|(p, how)| Op::Finish(p, how)),
+            8 => (port.clone(), completion()).prop_map(|(p, completion)| Op::Finish(p, completion)),
             6 => pick(),
             2 => (0u64..3_000).prop_map(Op::Advance),
         ]
@@ -169,27 +171,27 @@
                 }
             }
             Op::Start(p) => state.members.get_mut(p).expect("precondition").outstanding += 1,
-            Op::Report(p, report) => {
+            Op::SetHealth(p, health) => {
                 if let Some(m) = state.members.get_mut(p) {
-                    m.report = *report;
+                    m.health = *health;
                 }
             }
-            Op::Finish(p, how) => {
+            Op::Finish(p, completion) => {
                 let now = state.now_ms;
-                match how.how {
-                    How::Answered => {
+                match completion.outcome {
+                    Outcome::Answered => {
                         let m = state.members.get_mut(p).expect("precondition");
-                        m.failures = 0;
-                        m.ejections = 0;
+                        m.consecutive_failures = 0;
+                        m.consecutive_ejections = 0;
                         m.ejected_until_ms = None;
                         m.answered_at_ms = Some(now);
                     }
-                    How::Refused => {
+                    Outcome::Refused => {
                         let m = state.members.get_mut(p).expect("precondition");
                         m.refused_until_ms = Some(now + 50);
                     }
-                    How::Failed => state.fail(*p),
-                    How::GivenUp => {}
+                    Outcome::Failed => state.fail(*p),
+                    Outcome::Cancelled => {}
                 }
                 let m = state.members.get_mut(p).expect("precondition");
                 m.outstanding = m.outstanding.saturating_sub(1);
@@ -205,96 +207,101 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-struct Real {
+struct TestPool {
     pool: Pool,
     start: Instant,
 }
 
-impl StateMachineTest for Real {
-    type SystemUnderTest = Real;
+impl StateMachineTest for TestPool {
+    type SystemUnderTest = TestPool;
     type Reference = PoolModel;
 
-    fn init_test(_state: &Model) -> Real {
-        Real { pool: Pool::default(), start: Instant::now() }
+    fn init_test(_state: &Model) -> TestPool {
+        TestPool { pool: Pool::default(), start: Instant::now() }
     }
 
-    fn apply(mut real: Real, state: &Model, op: Op) -> Real {
-        let now = real.start + Duration::from_millis(state.now_ms);
+    fn apply(mut test: TestPool, state: &Model, op: Op) -> TestPool {
+        let now = test.start + Duration::from_millis(state.now_ms);
         match op {
             Op::SetMembers(list) => {
                 let members: Vec<_> = list
                     .iter()
                     .map(|(p, z, leaving)| {
-                        let standing = if *leaving { Standing::Leaving } else { Standing::Live };
-                        (addr(*p), ZONES[*z].into(), standing)
+                        let upstream_state =
+                            if *leaving { UpstreamState::Leaving } else { UpstreamState::Live };
+                        (addr(*p), ZONES[*z].into(), upstream_state)
                     })
                     .collect();
-                real.pool.set_members(&members);
+                test.pool.set_members(&members);
             }
             Op::MarkLeaving(p) => {
-                real.pool.mark_leaving(addr(p));
+                test.pool.mark_leaving(addr(p));
             }
             Op::Start(p) => {
-                let index = real.pool.position(addr(p)).expect("member");
-                real.pool.start(index);
+                let index = test.pool.position(addr(p)).expect("member");
+                test.pool.start(index);
             }
-            Op::Finish(p, how) => {
-                let index = real.pool.position(addr(p)).expect("member");
-                real.pool.finish(index, how, now);
+            Op::Finish(p, completion) => {
+                let index = test.pool.position(addr(p)).expect("member");
+                test.pool.finish(index, completion, now);
             }
-            Op::Report(p, report) => real.pool.set_report(addr(p), report),
+            Op::SetHealth(p, health) => test.pool.set_health(addr(p), health),
             Op::Pick { zone, affinity, policy, tried, seed } => {
                 let tried_addrs: Vec<SocketAddr> = tried.iter().map(|p| addr(*p)).collect();
-                let ask = Ask {
+                let criteria = SelectionCriteria {
                     policy,
                     zone: ZONES[zone],
                     zone_affinity: affinity,
                     tried: &tried_addrs,
-                    barred: &[],
-                    most_outstanding: MOST_OUTSTANDING,
+                    excluded: &[],
+                    max_outstanding: MAX_OUTSTANDING,
                 };
                 let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
-                let picked = real.pool.pick(ask, now, &mut rng);
+                let picked = test.pool.pick(criteria, now, &mut rng);
                 let tiers: BTreeMap<u16, Tier> = state
                     .members
                     .keys()
                     .filter(|p| !tried.contains(p))
-                    .filter(|p| state.members[p].outstanding < MOST_OUTSTANDING)
+                    .filter(|p| state.members[p].outstanding < MAX_OUTSTANDING)
                     .filter_map(|p| state.tier(*p).map(|tier| (*p, tier)))
                     .collect();
                 let best = tiers.values().min();
                 let Some(index) = picked else {
-                    assert!(best.is_none(), "no pick but {tiers:?}");
-                    return real;
+                    assert!(best.is_none(), "nothing was picked of {tiers:?}");
+                    return test;
                 };
-                let port = real.pool.upstreams[index].addr.port();
+                let port = test.pool.upstreams[index].addr.port();
                 assert_eq!(tiers.get(&port), best, "{port} of {tiers:?}");
                 let locals: Vec<usize> = tiers
                     .iter()
                     .filter(|(p, tier)| Some(*tier) == best && state.members[p].zone == zone)
-                    .filter_map(|(p, _)| real.pool.position(addr(*p)))
+                    .filter_map(|(p, _)| test.pool.position(addr(*p)))
                     .collect();
                 let picked_local = state.members[&port].zone == zone;
                 if affinity && policy != Policy::RoundRobin && !locals.is_empty() && !picked_local {
-                    let cost = |index: usize| real.pool.upstreams[index].cost(now);
-                    let worth = locals.iter().any(|&l| cost(index) * SPILL_RATIO < cost(l));
-                    assert!(worth, "{port} is in another zone and not half the cost");
+                    let cost = |index: usize| test.pool.upstreams[index].cost(now);
+                    let is_cheaper =
+                        locals.iter().any(|&l| cost(index) * SPILLOVER_COST_RATIO < cost(l));
+                    assert!(
+                        is_cheaper,
+                        "{port} is in another zone and does not cost less than half"
+                    );
                 }
             }
             Op::Advance(_) => {}
         }
-        real
+        test
     }
 
-    fn check_invariants(real: &Real, state: &Model) {
-        assert_eq!(real.pool.upstreams.len(), state.members.len());
-        for upstream in &real.pool.upstreams {
+    fn check_invariants(test: &TestPool, state: &Model) {
+        assert_eq!(test.pool.upstreams.len(), state.members.len());
+        for upstream in &test.pool.upstreams {
             let m = &state.members[&upstream.addr.port()];
             assert_eq!(upstream.zone, ZONES[m.zone], "zone of {}", upstream.addr);
             assert_eq!(
-                upstream.standing == Standing::Leaving,
+                upstream.state == UpstreamState::Leaving,
                 m.leaving,
-                "standing of {}",
+                "state of {}",
                 upstream.addr
             );
             assert_eq!(upstream.outstanding, m.outstanding, "outstanding of {}", upstream.addr);
@@ -303,7 +310,7 @@
 }
 
 prop_state_machine! {
-    // A fixed seed, so that CI gives the same verdict on every run.
+    // A fixed seed makes every run give the same result.
     #![proptest_config(ProptestConfig {
         cases: 256,
         failure_persistence: None,
@@ -311,5 +318,5 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn pool_agrees_with_its_model(sequential 1..150 => Real);
+    fn pool_agrees_with_model(sequential 1..150 => TestPool);
 }
--- a/crates/balance/src/pick.rs
+++ b/crates/balance/src/pick.rs
@@ -1,4 +1,4 @@
-//! Picking one upstream of a pool.
+//! Picks one upstream of a pool.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -7,137 +7,153 @@
 
 use crate::{Pool, Tier, UpstreamIndex};
 
-/// An upstream of another zone is picked over the own zone's only when it
-/// costs less than one part in this of it: what crosses zones is paid for.
-pub(crate) const SPILL_RATIO: f64 = 2.0;
+/// Factor by which an upstream of another zone must be cheaper than the best one of the
+/// caller's zone to be picked, since traffic between zones costs money.
+pub(crate) const SPILLOVER_COST_RATIO: f64 = 2.0;
 
-/// Upstreams compared for one call at most, from a random one on: what a
-/// call costs the entry node must not grow with the size of a service.
-const SCAN_MOST: usize = 32;
+/// Number of upstreams compared for one call at most, starting at a random one,
+/// so that the cost of a call does not grow with the size of a service.
+const MAX_SCANNED_UPSTREAMS: usize = 32;
 
-/// How an upstream is picked.
+/// Load balancing policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// The least expected cost of up to 32 sampled upstreams.
+    /// Picks the upstream with the lowest expected cost of up to 32 sampled ones.
     #[default]
     Adaptive,
-    /// Each in turn; a baseline to measure against.
+    /// Picks the upstreams in turn; a baseline for measurements.
     RoundRobin,
-    /// The one with the fewest calls outstanding from this node; a baseline to measure against.
+    /// Picks the upstream with the fewest calls outstanding from this node; a baseline for
+    /// measurements.
     LeastOutstanding,
 }
 
-/// What a call asks of the choice.
+/// What determines the selection of an upstream for a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    /// How to pick.
+pub struct SelectionCriteria<'a> {
+    /// Load balancing policy.
     pub policy: Policy,
-    /// Zone of the entry node.
+    /// Availability zone of the entry node.
     pub zone: &'a str,
-    /// Whether upstreams of that zone are preferred.
+    /// Whether upstreams of `zone` are preferred.
     pub zone_affinity: bool,
-    /// Upstreams that were tried for this call already.
+    /// Upstreams that were already tried for this call.
     pub tried: &'a [SocketAddr],
-    /// Upstreams that get no call now, by their own word.
-    pub barred: &'a [SocketAddr],
-    /// Upstreams with this many calls outstanding from this node get no more.
-    pub most_outstanding: u32,
+    /// Upstreams that themselves asked to get no calls now.
+    pub excluded: &'a [SocketAddr],
+    /// Number of calls outstanding from this node at which an upstream gets no more.
+    pub max_outstanding: u32,
 }
 
-/// The upstreams a choice is made from: one tier, in or out of one zone.
+/// Selects upstreams of one tier, inside or outside one zone.
 #[derive(Clone, Copy)]
-struct Group<'a> {
+struct Filter<'a> {
     tier: Tier,
-    /// `Some((zone, true))` for those in the zone, `false` for those outside; `None` for all.
+    /// `Some((zone, true))` selects upstreams in `zone`, `Some((zone, false))` those outside it,
+    /// and `None` all.
     zone: Option<(&'a str, bool)>,
 }
 
 impl Pool {
-    /// Picks an upstream for a call, or `None` when none may get it.
+    /// Picks an upstream for a call, or returns `None` if none may get it.
     ///
-    /// With zone affinity, an upstream of the own zone is picked as long as
-    /// one of the best tier there is one and it costs no more than twice
-    /// what one elsewhere costs.
+    /// Only the best tier that is not empty is considered. With zone affinity,
+    /// an upstream of the caller's zone is picked unless that zone has none in
+    /// this tier or an upstream elsewhere costs less than half as much. The
+    /// round-robin policy ignores zones.
     pub fn pick<R: Rng>(
         &mut self,
-        ask: Ask<'_>,
+        criteria: SelectionCriteria<'_>,
         now: Instant,
         rng: &mut R,
     ) -> Option<UpstreamIndex> {
-        let tier = self.candidates(ask).filter_map(|i| self.upstreams[i].tier(now)).min()?;
-        let all = Group { tier, zone: None };
-        if ask.policy == Policy::RoundRobin {
-            return self.next_in_turn(ask, all, now);
+        let tier = self.candidates(criteria).filter_map(|i| self.upstreams[i].tier(now)).min()?;
+        let any_zone = Filter { tier, zone: None };
+        if criteria.policy == Policy::RoundRobin {
+            return self.pick_next_in_turn(criteria, any_zone, now);
         }
-        if !ask.zone_affinity {
-            return self.pick_in(ask, all, now, rng);
+        if !criteria.zone_affinity {
+            return self.pick_among(criteria, any_zone, now, rng);
         }
-        let local = self.pick_in(ask, Group { tier, zone: Some((ask.zone, true)) }, now, rng);
-        let remote = self.pick_in(ask, Group { tier, zone: Some((ask.zone, false)) }, now, rng);
+        let local =
+            self.pick_among(criteria, Filter { tier, zone: Some((criteria.zone, true)) }, now, rng);
+        let remote = self.pick_among(
+            criteria,
+            Filter { tier, zone: Some((criteria.zone, false)) },
+            now,
+            rng,
+        );
         let cost = |index: UpstreamIndex| self.upstreams[index].cost(now);
         match (local, remote) {
-            (Some(l), Some(r)) if cost(r) * SPILL_RATIO < cost(l) => Some(r),
+            (Some(l), Some(r)) if cost(r) * SPILLOVER_COST_RATIO < cost(l) => Some(r),
             (Some(l), _) => Some(l),
             (None, r) => r,
         }
     }
 
-    fn candidates<'a>(&'a self, ask: Ask<'a>) -> impl Iterator<Item = UpstreamIndex> + 'a {
+    fn candidates<'a>(
+        &'a self,
+        criteria: SelectionCriteria<'a>,
+    ) -> impl Iterator<Item = UpstreamIndex> + 'a {
         (0..self.upstreams.len()).filter(move |&index| {
             let upstream = &self.upstreams[index];
-            let is_out = [ask.tried, ask.barred].iter().any(|out| out.contains(&upstream.addr));
-            upstream.outstanding < ask.most_outstanding && !is_out
+            let is_excluded = [criteria.tried, criteria.excluded]
+                .iter()
+                .any(|addrs| addrs.contains(&upstream.addr));
+            upstream.outstanding < criteria.max_outstanding && !is_excluded
         })
     }
 
-    fn group<'a>(
+    fn matching<'a>(
         &'a self,
-        ask: Ask<'a>,
-        group: Group<'a>,
+        criteria: SelectionCriteria<'a>,
+        filter: Filter<'a>,
         now: Instant,
     ) -> impl Iterator<Item = UpstreamIndex> + 'a {
-        self.candidates(ask).filter(move |index| {
+        self.candidates(criteria).filter(move |index| {
             let upstream = &self.upstreams[*index];
-            upstream.tier(now) == Some(group.tier)
-                && group.zone.is_none_or(|(zone, inside)| (upstream.zone == zone) == inside)
+            upstream.tier(now) == Some(filter.tier)
+                && filter.zone.is_none_or(|(zone, is_inside)| (upstream.zone == zone) == is_inside)
         })
     }
 
-    fn pick_in<R: Rng>(
+    fn pick_among<R: Rng>(
         &self,
-        ask: Ask<'_>,
-        group: Group<'_>,
+        criteria: SelectionCriteria<'_>,
+        filter: Filter<'_>,
         now: Instant,
         rng: &mut R,
     ) -> Option<UpstreamIndex> {
-        let count = self.group(ask, group, now).count();
-        // Starting anywhere, so that ties do not all go to the first.
+        let count = self.matching(criteria, filter, now).count();
+        // Starts at a random upstream, so that ties do not all go to the first.
         let first = if count < 2 { 0 } else { rng.random_range(0..count) };
-        let from_first = self.group(ask, group, now).skip(first);
-        let around = from_first.chain(self.group(ask, group, now).take(first)).take(SCAN_MOST);
-        match ask.policy {
+        let from_first = self.matching(criteria, filter, now).skip(first);
+        let sample = from_first
+            .chain(self.matching(criteria, filter, now).take(first))
+            .take(MAX_SCANNED_UPSTREAMS);
+        match criteria.policy {
             Policy::LeastOutstanding => {
-                around.min_by_key(|&index| self.upstreams[index].outstanding)
+                sample.min_by_key(|&index| self.upstreams[index].outstanding)
             }
-            Policy::Adaptive | Policy::RoundRobin => around
+            Policy::Adaptive | Policy::RoundRobin => sample
                 .map(|index| (index, self.upstreams[index].cost(now)))
                 .min_by(|(_, a), (_, b)| a.total_cmp(b))
                 .map(|(index, _)| index),
         }
     }
 
-    fn next_in_turn(
+    fn pick_next_in_turn(
         &mut self,
-        ask: Ask<'_>,
-        group: Group<'_>,
+        criteria: SelectionCriteria<'_>,
+        filter: Filter<'_>,
         now: Instant,
     ) -> Option<UpstreamIndex> {
-        let turn = self.turn;
+        let next_index = self.next_index;
         let picked = self
-            .group(ask, group, now)
-            .find(|&index| index >= turn)
-            .or_else(|| self.group(ask, group, now).next())?;
-        self.turn = picked + 1;
+            .matching(criteria, filter, now)
+            .find(|&index| index >= next_index)
+            .or_else(|| self.matching(criteria, filter, now).next())?;
+        self.next_index = picked + 1;
         Some(picked)
     }
 }
--- a/crates/oatcoved/src/follow.rs
+++ b/crates/oatcoved/src/follow.rs
@@ -300,9 +300,11 @@
     let mut members: std::collections::HashMap<smol_str::SmolStr, Vec<_>> = Default::default();
     for vm in vms.iter().filter(|vm| vm.role == proto::VmRole::Upstream) {
         let standing = match vm.state {
-            _ if view.is_drained(vm) || view.is_evacuated(&vm.zone) => balance::Standing::Leaving,
-            proto::VmState::Live => balance::Standing::Live,
-            proto::VmState::Leaving | proto::VmState::Gone => balance::Standing::Leaving,
+            _ if view.is_drained(vm) || view.is_evacuated(&vm.zone) => {
+                balance::UpstreamState::Leaving
+            }
+            proto::VmState::Live => balance::UpstreamState::Live,
+            proto::VmState::Leaving | proto::VmState::Gone => balance::UpstreamState::Leaving,
         };
         members.entry(vm.service.clone()).or_default().push((vm.addr, vm.zone.clone(), standing));
     }
--- a/crates/oatcoved/src/follow/tests.rs
+++ b/crates/oatcoved/src/follow/tests.rs
@@ -114,9 +114,9 @@
     apply_vm_changes(&mut view, 2, proto::VmChanges { head: 3, vms: changed });
     let pool = &view.pools["swap-desk"];
     let standing =
-        |port: u16| pool.upstreams.iter().find(|u| u.addr.port() == port).map(|u| u.standing);
-    assert_eq!(standing(9001), Some(balance::Standing::Leaving));
-    assert_eq!(standing(9002), Some(balance::Standing::Live));
+        |port: u16| pool.upstreams.iter().find(|u| u.addr.port() == port).map(|u| u.state);
+    assert_eq!(standing(9001), Some(balance::UpstreamState::Leaving));
+    assert_eq!(standing(9002), Some(balance::UpstreamState::Live));
 }
 
 /// Symptom: an evacuated zone gets calls again, or never any more.
@@ -136,19 +136,19 @@
         value: value.into(),
         change_id: "e".into(),
     };
-    let standing = |view: &crate::view::View| view.pools["swap-desk"].upstreams[0].standing;
+    let standing = |view: &crate::view::View| view.pools["swap-desk"].upstreams[0].state;
     let take = |view: &mut crate::view::View, row: proto::Row| {
         apply_drains(view, proto::Rows { head: row.version, rows: vec![row] });
     };
     take(&mut view, row(7, "{}"));
     apply_vm_changes(&mut view, 1, proto::VmChanges { head: 2, vms: vec![live()] });
-    assert_eq!(standing(&view), balance::Standing::Leaving);
+    assert_eq!(standing(&view), balance::UpstreamState::Leaving);
     assert_eq!(view.status().evacuated, std::slice::from_ref(&zone));
     take(&mut view, row(8, r#"{"lifted":true}"#));
     take(&mut view, row(7, "{}"));
-    assert_eq!(standing(&view), balance::Standing::Live);
+    assert_eq!(standing(&view), balance::UpstreamState::Live);
     take(&mut view, row(9, "?"));
-    assert_eq!(standing(&view), balance::Standing::Leaving);
+    assert_eq!(standing(&view), balance::UpstreamState::Leaving);
     let relayed = crate::relay::rows(&view, store::DRAINS, 8).expect("it is passed on");
     assert_eq!((relayed.head, relayed.rows.len()), (9, 1));
 }
@@ -169,11 +169,11 @@
         change_id: "d".into(),
     };
     apply_drains(&mut view, proto::Rows { head: 7, rows: vec![drain] });
-    let standing = |view: &crate::view::View| view.pools["swap-desk"].upstreams[0].standing;
-    assert_eq!(standing(&view), balance::Standing::Leaving);
+    let standing = |view: &crate::view::View| view.pools["swap-desk"].upstreams[0].state;
+    assert_eq!(standing(&view), balance::UpstreamState::Leaving);
     let next = proto::Vm { id: "vm-2".into(), ..upstream(9001, proto::VmState::Live) };
     apply_vm_changes(&mut view, 1, proto::VmChanges { head: 2, vms: vec![next] });
-    assert_eq!(standing(&view), balance::Standing::Live);
+    assert_eq!(standing(&view), balance::UpstreamState::Live);
 }
 
 /// Symptom: an operator lifts a drain and the upstream stays out of work, or
@@ -195,7 +195,7 @@
     apply_drains(&mut view, proto::Rows { head: 7, rows: vec![drain.clone()] });
     apply_drains(&mut view, proto::Rows { head: 8, rows: vec![lift] });
     apply_drains(&mut view, proto::Rows { head: 7, rows: vec![drain] });
-    assert_eq!(view.pools["swap-desk"].upstreams[0].standing, balance::Standing::Live);
+    assert_eq!(view.pools["swap-desk"].upstreams[0].state, balance::UpstreamState::Live);
 }
 
 /// Symptom: a new upstream is shunned for what its predecessor at the address did.
@@ -209,10 +209,10 @@
     apply_vm_changes(&mut view, 0, proto::VmChanges { head: 1, vms: vec![vm("vm-1", live)] });
     let (up, watcher) = (vm("vm-1", live).addr, "127.0.0.1:7101".parse().expect("address"));
     view.report(up, watcher, wire::Verdict::Draining);
-    let report = |view: &crate::view::View| view.pools["swap-desk"].upstreams[0].report;
-    assert_eq!(report(&view), balance::Report::Draining);
+    let report = |view: &crate::view::View| view.pools["swap-desk"].upstreams[0].health;
+    assert_eq!(report(&view), balance::Health::Draining);
     apply_vm_changes(&mut view, 1, proto::VmChanges { head: 2, vms: vec![vm("vm-2", live)] });
-    assert_eq!(report(&view), balance::Report::Good);
+    assert_eq!(report(&view), balance::Health::Healthy);
 }
 
 /// Symptom: one mistaken watcher clears or hides what another saw.
@@ -225,14 +225,14 @@
     apply_vm_changes(&mut view, 0, proto::VmChanges { head: 1, vms: live });
     let up = upstream(9001, proto::VmState::Live).addr;
     let watcher = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let report = |view: &crate::view::View| view.pools["swap-desk"].upstreams[0].report;
+    let report = |view: &crate::view::View| view.pools["swap-desk"].upstreams[0].health;
     view.report(up, watcher(1), wire::Verdict::Draining);
     view.report(up, watcher(2), wire::Verdict::Failing);
-    assert_eq!(report(&view), balance::Report::Draining);
+    assert_eq!(report(&view), balance::Health::Draining);
     view.report(up, watcher(1), wire::Verdict::Healthy);
-    assert_eq!(report(&view), balance::Report::Failing);
+    assert_eq!(report(&view), balance::Health::Failing);
     view.report(up, watcher(2), wire::Verdict::Healthy);
-    assert_eq!(report(&view), balance::Report::Good);
+    assert_eq!(report(&view), balance::Health::Healthy);
 }
 
 /// Symptom: a request that crashes upstreams takes three at each of a dozen nodes.
--- a/crates/oatcoved/src/proxy/attempt.rs
+++ b/crates/oatcoved/src/proxy/attempt.rs
@@ -155,9 +155,9 @@
     view: Rc<RefCell<View>>,
     service: SmolStr,
     addr: SocketAddr,
-    kind: balance::Kind,
+    kind: balance::CallKind,
     sent_at: Instant,
-    how: balance::How,
+    how: balance::Outcome,
 }
 
 impl Outstanding {
@@ -166,7 +166,7 @@
         view: &Rc<RefCell<View>>,
         service: &SmolStr,
         addr: SocketAddr,
-        kind: balance::Kind,
+        kind: balance::CallKind,
     ) -> Self {
         let call = Outstanding {
             view: view.clone(),
@@ -174,7 +174,7 @@
             addr,
             kind,
             sent_at: Instant::now(),
-            how: balance::How::GivenUp,
+            how: balance::Outcome::Cancelled,
         };
         call.with_pool(|pool, index| pool.start(index));
         call
@@ -186,7 +186,7 @@
     }
 
     /// Records how it ended.
-    pub(super) fn finish(mut self, how: balance::How) {
+    pub(super) fn finish(mut self, how: balance::Outcome) {
         self.how = how;
     }
 
@@ -202,7 +202,8 @@
 
 impl Drop for Outstanding {
     fn drop(&mut self) {
-        let finished = balance::Finished { how: self.how, took: self.took(), kind: self.kind };
+        let finished =
+            balance::Completion { outcome: self.how, elapsed: self.took(), kind: self.kind };
         self.with_pool(|pool, index| pool.finish(index, finished, Instant::now()));
     }
 }
--- a/crates/oatcoved/src/proxy/forward.rs
+++ b/crates/oatcoved/src/proxy/forward.rs
@@ -45,7 +45,7 @@
     /// Connections this node may have to one upstream.
     connection_share: u32,
     idempotent: bool,
-    kind: balance::Kind,
+    kind: balance::CallKind,
 }
 
 impl Call<'_> {
@@ -310,13 +310,13 @@
         let now = Instant::now();
         let barred = view.barred(&call.service, now);
         let pool = view.pools.get_mut(&call.service)?;
-        let ask = balance::Ask {
+        let ask = balance::SelectionCriteria {
             policy: policy(call.params.balance),
             zone: &call.zone,
             zone_affinity: call.params.zone_affinity,
             tried,
-            barred: &barred,
-            most_outstanding: call.connection_share,
+            excluded: &barred,
+            max_outstanding: call.connection_share,
         };
         let index = pool.pick(ask, now, &mut *self.rng.borrow_mut())?;
         Some(pool.upstreams[index].addr)
@@ -353,17 +353,17 @@
         let result = self.idle.send(addr, request, remaining, call.connection_share, hear).await;
         let took = outstanding.took();
         outstanding.finish(match &result {
-            Attempt::Answered(response) if is_broken(response) => balance::How::Failed,
-            Attempt::Answered(_) => balance::How::Answered,
-            Attempt::Refused => balance::How::Refused,
+            Attempt::Answered(response) if is_broken(response) => balance::Outcome::Failed,
+            Attempt::Answered(_) => balance::Outcome::Answered,
+            Attempt::Refused => balance::Outcome::Refused,
             // A caller that waits only briefly says nothing of the upstream: counted as
             // failures, its time-outs would eject upstreams that serve everyone else.
             Attempt::Lost(web::Error::Timeout)
                 if 2 * took < Duration::from_millis(call.params.timeout_ms) =>
             {
-                balance::How::GivenUp
+                balance::Outcome::Cancelled
             }
-            Attempt::NotSent | Attempt::Lost(_) => balance::How::Failed,
+            Attempt::NotSent | Attempt::Lost(_) => balance::Outcome::Failed,
         });
         log::debug!(
             "service={} request_id={} upstream={addr} took_us={}",
@@ -429,7 +429,7 @@
     /// Returns how long to wait before a hedge, or `None` when one would come too late.
     fn hedge_after(&self, call: &Call<'_>) -> Option<Duration> {
         let view = self.view.borrow();
-        let mean = view.pools.get(&call.service)?.kind_mean(call.kind)?;
+        let mean = view.pools.get(&call.service)?.mean_latency(call.kind)?;
         let after = mean.mul_f64(HEDGE_AFTER).max(HEDGE_AFTER_LEAST);
         (after < call.remaining()).then_some(after)
     }
@@ -438,14 +438,14 @@
     fn was_slow(&self, call: &Call<'_>, took: Duration) -> bool {
         let view = self.view.borrow();
         let pool = view.pools.get(&call.service);
-        let floor = pool.and_then(|pool| pool.kind_floor(call.kind, Instant::now()));
+        let floor = pool.and_then(|pool| pool.baseline_latency(call.kind, Instant::now()));
         floor.is_some_and(|floor| took > floor.mul_f64(SLOW_FROM))
     }
 
     /// Returns how long the service is likely to stay busy: about one call's time.
     fn busy_for(&self, call: &Call<'_>) -> Duration {
         let view = self.view.borrow();
-        let mean = view.pools.get(&call.service).and_then(|pool| pool.kind_mean(call.kind));
+        let mean = view.pools.get(&call.service).and_then(|pool| pool.mean_latency(call.kind));
         mean.unwrap_or_default()
     }
 }
@@ -490,7 +490,7 @@
 }
 
 /// Returns the kind of a call: its method and the first segment of its path.
-fn kind(method: &http::Method, path: &str) -> balance::Kind {
+fn kind(method: &http::Method, path: &str) -> balance::CallKind {
     let path = path.split(['?', '#']).next().unwrap_or(path);
     let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     let mut hasher = siphasher::sip::SipHasher13::new();
--- a/crates/oatcoved/src/view.rs
+++ b/crates/oatcoved/src/view.rs
@@ -263,13 +263,13 @@
     fn apply_report(&mut self, upstream: SocketAddr) {
         let worst = self.reports.get(&upstream).and_then(|by| by.values().max());
         let report = match worst {
-            Some(wire::Verdict::Draining) => balance::Report::Draining,
-            Some(wire::Verdict::Failing) => balance::Report::Failing,
-            Some(wire::Verdict::Healthy) | None => balance::Report::Good,
+            Some(wire::Verdict::Draining) => balance::Health::Draining,
+            Some(wire::Verdict::Failing) => balance::Health::Failing,
+            Some(wire::Verdict::Healthy) | None => balance::Health::Healthy,
         };
         let service = self.vms.get(&upstream).map(|vm| vm.service.clone());
         if let Some(pool) = service.and_then(|service| self.pools.get_mut(&service)) {
-            pool.set_report(upstream, report);
+            pool.set_health(upstream, report);
         }
     }
 
@@ -286,10 +286,10 @@
                     .map(|u| UpstreamStatus {
                         addr: u.addr,
                         zone: u.zone.clone(),
-                        leaving: u.standing == balance::Standing::Leaving
-                            || u.report == balance::Report::Draining
+                        leaving: u.state == balance::UpstreamState::Leaving
+                            || u.health == balance::Health::Draining
                             || self.notices.is_leaving(self.start_at(u.addr), now),
-                        failing: u.report == balance::Report::Failing,
+                        failing: u.health == balance::Health::Failing,
                         outstanding: u.outstanding,
                         latency_ewma_ms: u.latency_ewma_us / 1_000.0,
                         noted: self.notices.noted(self.start_at(u.addr), now),
