--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -25,7 +25,7 @@
 pub use pick::{Policy, SelectionCriteria};
 pub use upstream::{Health, Tier, Upstream, UpstreamState};
 
-/// Weight of the newest answer in the mean latency of its kind of call.
+/// Weight of the newest response in the mean latency of its kind of call.
 const MEAN_LATENCY_WEIGHT: f64 = 0.05;
 
 /// Kinds of call that each have their own latencies; further kinds share those of
@@ -49,13 +49,13 @@
 /// Outcome of a call to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream sent a whole answer.
+    /// The upstream sent a complete response.
     Answered,
     /// The upstream refused the call before running it: it is full or leaving, not broken.
     Refused,
-    /// No whole answer arrived, or one that says the upstream is broken.
+    /// No complete response arrived, or one that says the upstream is broken.
     Failed,
-    /// The call was cancelled before the upstream answered: another upstream
+    /// The call was cancelled before the upstream responded: another upstream
     /// was faster, or the caller went away.
     Cancelled,
 }
@@ -156,13 +156,14 @@
     }
 
     /// Returns the mean latency of calls of `kind` over all upstreams, or `None` before the first
-    /// answer.
+    /// response.
     pub fn mean_latency(&self, kind: CallKind) -> Option<Duration> {
         let mean_us = self.mean_latency_us.get(&self.tracked_kind(kind))?;
         Some(Duration::from_secs_f64(mean_us / 1e6))
     }
 
-    /// Returns the latency of calls of `kind` without queueing, or `None` before the first answer.
+    /// Returns the latency of calls of `kind` without queueing, or `None` before the first
+    /// response.
     pub fn baseline_latency(&self, kind: CallKind, now: Instant) -> Option<Duration> {
         let baseline = self.baseline_latency.get(&self.tracked_kind(kind))?;
         Some(Duration::from_secs_f64(baseline.us_at(now) / 1e6))
@@ -205,7 +206,7 @@
                 baseline
                     .or_insert(BaselineLatency { us: elapsed_us, updated_at: now })
                     .sample(elapsed_us, now);
-                upstream.record_answer(elapsed_us, elapsed_us / *mean_us, now);
+                upstream.record_response(elapsed_us, elapsed_us / *mean_us, now);
             }
             Outcome::Refused => upstream.record_refusal(now),
             Outcome::Failed | Outcome::Cancelled => {
--- a/crates/balance/src/model_tests.rs
+++ b/crates/balance/src/model_tests.rs
@@ -1,7 +1,7 @@
 //! Model-based test of [`Pool`].
 //!
 //! The model keeps, per address, only what the rules need: zone, leaving,
-//! health, outstanding calls, answers, failures, ejections and refusals. After
+//! health, outstanding calls, responses, failures, ejections and refusals. After
 //! every step the pool must agree with the model, and every pick must follow
 //! the rules: it is of the best tier that is not empty and, with zone
 //! affinity, in the caller's zone unless that costs more than twice as much
@@ -46,7 +46,7 @@
     consecutive_ejections: u32,
     ejected_until_ms: Option<u64>,
     refused_until_ms: Option<u64>,
-    answered_at_ms: Option<u64>,
+    responded_at_ms: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -59,12 +59,12 @@
     fn tier(&self, port: u16) -> Option<Tier> {
         let m = &self.members[&port];
         let is_ejected = m.ejected_until_ms.is_some_and(|until| until > self.now_ms);
-        let has_recent_answer = m.answered_at_ms.is_some_and(|at| self.now_ms - at < 2_000);
+        let has_recent_response = m.responded_at_ms.is_some_and(|at| self.now_ms - at < 2_000);
         match () {
             _ if m.leaving || m.health == Health::Draining => None,
             _ if m.ejected_until_ms.is_some() && m.outstanding > 0 => None,
             _ if is_ejected => Some(Tier::Ejected),
-            _ if m.health == Health::Failing && !has_recent_answer => Some(Tier::Failing),
+            _ if m.health == Health::Failing && !has_recent_response => Some(Tier::Failing),
             _ if m.refused_until_ms.is_some_and(|until| until > self.now_ms) => {
                 Some(Tier::Refusing)
             }
@@ -184,7 +184,7 @@
                         m.consecutive_failures = 0;
                         m.consecutive_ejections = 0;
                         m.ejected_until_ms = None;
-                        m.answered_at_ms = Some(now);
+                        m.responded_at_ms = Some(now);
                     }
                     Outcome::Refused => {
                         let m = state.members.get_mut(p).expect("precondition");
--- a/crates/balance/src/tests.rs
+++ b/crates/balance/src/tests.rs
@@ -41,7 +41,7 @@
     Completion { outcome: Outcome::Answered, elapsed: Duration::from_millis(elapsed_ms), kind }
 }
 
-/// Returns the completion of a call that ended at once without an answer.
+/// Returns the completion of a call that ended at once without a response.
 fn ended(outcome: Outcome) -> Completion {
     Completion { outcome, elapsed: Duration::ZERO, kind: 0 }
 }
@@ -176,10 +176,10 @@
 }
 
 /// Guards against false failure reports that take healthy upstreams out of use.
-/// A recent answer to this node outweighs a report, and upstreams reported as
+/// A recent response to this node outweighs a report, and upstreams reported as
 /// failing are still picked when all are reported.
 #[test]
-fn reported_failure_yields_to_answers_and_to_lack_of_alternatives() {
+fn reported_failure_yields_to_responses_and_to_lack_of_alternatives() {
     let mut pool = pool(&["a", "a"]);
     let now = Instant::now();
     let addrs: Vec<_> = pool.upstreams.iter().map(|u| u.addr).collect();
@@ -212,7 +212,7 @@
 
 /// Guards against comparing latencies of different kinds of call, which makes
 /// an upstream that happens to serve heavy calls look slow. Of two equal
-/// upstreams, one answers light calls and one heavy calls.
+/// upstreams, one responds to light calls and one to heavy calls.
 #[test]
 fn heavy_calls_do_not_make_an_upstream_look_slow() {
     let mut pool = pool(&["a", "a"]);
@@ -241,7 +241,7 @@
 }
 
 /// Guards against giving a slow upstream its full share of calls, and against
-/// never using it again. One upstream answers ten times as slowly as the other;
+/// never using it again. One upstream responds ten times as slowly as the other;
 /// later nothing is known of it for a while.
 #[test]
 fn slow_upstream_gets_no_calls_until_its_slowness_decays() {
@@ -260,8 +260,8 @@
     assert_eq!(pick_counts(&mut pool, criteria(&[]), later)[1], 0, "its slowness has decayed");
 }
 
-/// Guards against learning from answers only: an upstream that never answers in
-/// time has each call overtaken by a hedge, so its answers are never awaited,
+/// Guards against learning from responses only: an upstream that never responds
+/// in time has each call overtaken by a hedge, so its responses are never awaited,
 /// and hedged calls would keep going to it first.
 #[test]
 fn calls_cancelled_late_count_against_the_upstream() {
--- a/crates/balance/src/upstream.rs
+++ b/crates/balance/src/upstream.rs
@@ -13,13 +13,13 @@
 
 /// Half-life with which slowness decays to normal when no new sample comes.
 /// Without the decay, an upstream that was slow once is never picked again,
-/// so no answer can show that it has recovered.
+/// so no response can show that it has recovered.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(4);
 
 /// Number of consecutive failures that ejects an upstream.
 const EJECTION_THRESHOLD: u32 = 3;
 
-/// Duration of the first ejection; it doubles with each further one until an answer arrives.
+/// Duration of the first ejection; it doubles with each further one until a response arrives.
 const BASE_EJECTION_TIME: Duration = Duration::from_secs(2);
 
 /// Longest duration of an ejection.
@@ -28,8 +28,8 @@
 /// Time after a refusal during which other upstreams are preferred.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Time during which an answer to this node outweighs watchers' reports of failure.
-const ANSWER_TTL: Duration = Duration::from_secs(2);
+/// Time during which a response to this node outweighs watchers' reports of failure.
+const RESPONSE_TTL: Duration = Duration::from_secs(2);
 
 /// Whether an upstream is listed to get new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     /// No watcher reports a problem.
     #[default]
     Healthy,
-    /// The upstream does not answer probes, or answers with errors.
+    /// The upstream does not respond to probes, or responds with errors.
     Failing,
     /// The upstream itself says that it is leaving.
     Draining,
@@ -60,7 +60,8 @@
     Good,
     /// The upstream refused a call a moment ago.
     Refusing,
-    /// Watchers report that the upstream fails, and no recent answer to this node contradicts them.
+    /// Watchers report that the upstream fails, and no recent response to this node contradicts
+    /// them.
     Failing,
     /// The upstream failed repeatedly; it gets one trial call at a time to show that it recovered.
     Ejected,
@@ -79,19 +80,19 @@
     pub health: Health,
     /// Calls that this entry node has sent and that have not ended.
     pub outstanding: u32,
-    /// Moving average of the latency of its answers, in microseconds; shown on the status page.
+    /// Moving average of the latency of its responses, in microseconds; shown on the status page.
     pub latency_ewma_us: f64,
     /// Moving average of its latency over the mean latency of the same kind of call; 1 is normal.
     slowness: f64,
     /// When slowness was last sampled.
     sampled_at: Option<Instant>,
-    /// When the upstream last answered.
-    answered_at: Option<Instant>,
-    /// Failures since the last answer or ejection.
+    /// When the upstream last responded.
+    responded_at: Option<Instant>,
+    /// Failures since the last response or ejection.
     pub consecutive_failures: u32,
-    /// Ejections since the last answer.
+    /// Ejections since the last response.
     consecutive_ejections: u32,
-    /// End of the current or last ejection; reset by an answer.
+    /// End of the current or last ejection; reset by a response.
     ejected_until: Option<Instant>,
     refused_until: Option<Instant>,
 }
@@ -108,7 +109,7 @@
             latency_ewma_us: 0.0,
             slowness: 1.0,
             sampled_at: None,
-            answered_at: None,
+            responded_at: None,
             consecutive_failures: 0,
             consecutive_ejections: 0,
             ejected_until: None,
@@ -119,14 +120,14 @@
     /// Returns the tier of the upstream, or `None` if it must not get a call now.
     pub fn tier(&self, now: Instant) -> Option<Tier> {
         let is_on_trial = self.ejected_until.is_some_and(|until| until <= now);
-        let has_recent_answer =
-            self.answered_at.is_some_and(|at| now.duration_since(at) < ANSWER_TTL);
+        let has_recent_response =
+            self.responded_at.is_some_and(|at| now.duration_since(at) < RESPONSE_TTL);
         match (self.state, self.health) {
             (UpstreamState::Leaving, _) | (_, Health::Draining) => None,
             // One trial call at a time, so that a dead upstream does not fail several calls.
             _ if self.ejected_until.is_some() && self.outstanding > 0 => None,
             _ if self.ejected_until.is_some() && !is_on_trial => Some(Tier::Ejected),
-            (_, Health::Failing) if !has_recent_answer => Some(Tier::Failing),
+            (_, Health::Failing) if !has_recent_response => Some(Tier::Failing),
             _ if self.refused_until.is_some_and(|until| until > now) => Some(Tier::Refusing),
             _ => Some(Tier::Good),
         }
@@ -152,23 +153,23 @@
         self.sampled_at = Some(now);
     }
 
-    pub(crate) fn record_answer(&mut self, elapsed_us: f64, slowness: f64, now: Instant) {
-        self.latency_ewma_us = match self.answered_at {
+    pub(crate) fn record_response(&mut self, elapsed_us: f64, slowness: f64, now: Instant) {
+        self.latency_ewma_us = match self.responded_at {
             Some(_) => self.latency_ewma_us + EWMA_WEIGHT * (elapsed_us - self.latency_ewma_us),
             None => elapsed_us,
         };
         self.sample_slowness(slowness, now);
-        self.answered_at = Some(now);
+        self.responded_at = Some(now);
         self.consecutive_failures = 0;
         self.consecutive_ejections = 0;
         self.ejected_until = None;
     }
 
-    /// Records that a call ended without an answer after `slowness` times the usual time.
+    /// Records that a call ended without a response after `slowness` times the usual time.
     ///
     /// Only a value above the current slowness counts. Without this record, a
     /// slow upstream whose calls are all overtaken by hedges never looks slow,
-    /// since none of its answers is awaited.
+    /// since none of its responses is awaited.
     pub(crate) fn record_min_slowness(&mut self, slowness: f64, now: Instant) {
         if slowness > self.slowness_at(now).max(1.0) {
             self.sample_slowness(slowness, now);
--- a/crates/limit/src/limiter.rs
+++ b/crates/limit/src/limiter.rs
@@ -50,9 +50,9 @@
 /// Outcome of an admitted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An upstream answered within about the usual time.
+    /// An upstream responded within about the usual time.
     Served,
-    /// An upstream answered after several times the usual time: the call
+    /// An upstream responded after several times the usual time: the call
     /// waited in a queue, or the upstream is slow.
     Slow,
     /// Every upstream tried refused the call because it is full.
@@ -148,7 +148,8 @@
     pub fn release(&mut self, team: &str, outcome: Outcome, started_at: Instant, now: Instant) {
         let is_utilized = f64::from(self.in_flight) >= self.limit * MIN_UTILIZATION_RATIO;
         // Calls admitted before the last decrease met the load of that time, which the
-        // decrease already answered. Counting them again would shrink the limit to the minimum.
+        // decrease already took into account. Counting them again would shrink the limit to
+        // the minimum.
         let is_current = self.last_decrease.is_none_or(|at| started_at > at);
         if is_current {
             let slow = match outcome {
--- a/crates/watch/src/lib.rs
+++ b/crates/watch/src/lib.rs
@@ -92,11 +92,11 @@
 /// Outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// The upstream answered, or refused because it is busy; in both cases it is up.
+    /// The upstream responded, or refused because it is busy; in both cases it is up.
     Up,
     /// The upstream said that it is leaving.
     Draining,
-    /// The upstream did not answer, or answered with an error.
+    /// The upstream did not respond, or responded with an error.
     Down,
 }
 
@@ -174,8 +174,8 @@
     /// second.
     ///
     /// Returns the upstreams that this node found failing or leaving and no
-    /// longer watches. The caller must withdraw this node's notes on them,
-    /// since no node would correct them later.
+    /// longer watches. The caller must withdraw this node's health reports on
+    /// them, since no node would correct them later.
     pub fn set_list(
         &mut self,
         list: VmList<'_>,
@@ -310,7 +310,7 @@
         let verdict = match outcome {
             ProbeOutcome::Up => Verdict::Healthy,
             ProbeOutcome::Draining => Verdict::Draining,
-            // A single lost probe changes nothing, and a leaving upstream that stops answering
+            // A single lost probe changes nothing, and a leaving upstream that stops responding
             // is still leaving.
             ProbeOutcome::Down if assignment.consecutive_failures < FAILURE_THRESHOLD => {
                 assignment.verdict
@@ -325,8 +325,8 @@
     /// Resets the upstreams found failing to healthy and returns them.
     ///
     /// The caller must call this when the lease expires: without probes this
-    /// node would not see the upstreams recover, and its repeated notes would
-    /// keep them out of use.
+    /// node would not see the upstreams recover, and its repeated health
+    /// reports would keep them out of use.
     pub fn reset_failing(&mut self) -> Vec<SocketAddr> {
         let failing = self.assignments.iter_mut().filter(|(_, a)| a.verdict == Verdict::Failing);
         failing
--- a/crates/watch/src/tests.rs
+++ b/crates/watch/src/tests.rs
@@ -82,20 +82,21 @@
     let start = Instant::now();
     let mut scheduler = scheduler_after_delay(4, 4, start);
     let read = start + rules.increase_delay;
-    assert_eq!(send_and_answer_due(&mut scheduler, read), 4);
+    assert_eq!(complete_due_probes(&mut scheduler, read), 4);
     assert_eq!(
-        send_and_answer_due(&mut scheduler, read + rules.lease_ttl),
+        complete_due_probes(&mut scheduler, read + rules.lease_ttl),
         4,
         "the lease has not expired"
     );
     let later = read + Duration::from_secs(60);
-    assert_eq!(send_and_answer_due(&mut scheduler, later), 0);
+    assert_eq!(complete_due_probes(&mut scheduler, later), 0);
     scheduler.renew_lease(later);
-    assert_eq!(send_and_answer_due(&mut scheduler, later), 4);
+    assert_eq!(complete_due_probes(&mut scheduler, later), 4);
 }
 
-/// Sends the probes due at `now`, records each as answered, and returns their number.
-fn send_and_answer_due(scheduler: &mut ProbeScheduler, now: Instant) -> usize {
+/// Takes the probes due at `now`, records that each found its upstream up, and returns their
+/// number.
+fn complete_due_probes(scheduler: &mut ProbeScheduler, now: Instant) -> usize {
     let due = scheduler.take_due(now);
     for due in &due {
         scheduler.record_outcome(due.addr, ProbeOutcome::Up);
@@ -116,7 +117,7 @@
     let entries = entries(1);
     // Eight upstreams, one watcher (a single entry node), 4 probes/s: each upstream every 2 s.
     let read = start + rules.increase_delay;
-    assert_eq!(send_and_answer_due(&mut scheduler, read), 8);
+    assert_eq!(complete_due_probes(&mut scheduler, read), 8);
     let fewer = targets(4);
     scheduler.set_list(
         VmList { entries: &entries, targets: &fewer, requested_at: read },
@@ -125,11 +126,11 @@
     );
     let second = Duration::from_secs(1);
     assert_eq!(
-        send_and_answer_due(&mut scheduler, read + second),
+        complete_due_probes(&mut scheduler, read + second),
         0,
         "an interval of 1 s took effect at once"
     );
-    assert_eq!(send_and_answer_due(&mut scheduler, read + 2 * second), 4);
+    assert_eq!(complete_due_probes(&mut scheduler, read + 2 * second), 4);
     let fewest = targets(2);
     let again = read + 4 * second;
     scheduler.set_list(
@@ -137,20 +138,20 @@
         |_| 4,
         again,
     );
-    assert_eq!(send_and_answer_due(&mut scheduler, again), 2);
+    assert_eq!(complete_due_probes(&mut scheduler, again), 2);
     let first_effective = read + rules.increase_delay;
     scheduler.renew_lease(first_effective);
-    assert_eq!(send_and_answer_due(&mut scheduler, first_effective), 2);
+    assert_eq!(complete_due_probes(&mut scheduler, first_effective), 2);
     let half = Duration::from_millis(500);
     assert_eq!(
-        send_and_answer_due(&mut scheduler, first_effective + half),
+        complete_due_probes(&mut scheduler, first_effective + half),
         0,
         "the second increase took effect too soon"
     );
     let second_effective = again + rules.increase_delay;
     scheduler.renew_lease(second_effective);
-    assert_eq!(send_and_answer_due(&mut scheduler, second_effective), 2);
-    assert_eq!(send_and_answer_due(&mut scheduler, second_effective + half), 2);
+    assert_eq!(complete_due_probes(&mut scheduler, second_effective), 2);
+    assert_eq!(complete_due_probes(&mut scheduler, second_effective + half), 2);
 }
 
 /// Guards against restarting the delay of assignments that a new list does not
@@ -198,9 +199,9 @@
     assert_eq!(scheduler.take_due(almost + Duration::from_millis(1)).len(), 3);
 }
 
-/// Guards against a note that no node corrects: a node finds an upstream failing
-/// and then no longer watches it, and the upstream would stay out of use
-/// although it answers. The note must be withdrawn.
+/// Guards against a health report that no node corrects: a node finds an
+/// upstream failing and then no longer watches it, and the upstream would stay
+/// out of use although it responds. The report must be withdrawn.
 #[test]
 fn lost_assignment_withdraws_its_verdict() {
     let start = Instant::now();
@@ -227,7 +228,7 @@
     assert_eq!(
         scheduler.record_outcome(addr, ProbeOutcome::Down),
         None,
-        "a leaving upstream that stops answering is still leaving"
+        "a leaving upstream that stops responding is still leaving"
     );
     assert_eq!(scheduler.record_outcome(addr, ProbeOutcome::Up), Some(Verdict::Healthy));
     scheduler.record_outcome(addr, ProbeOutcome::Down);
