--- a/crates/oatcoved/src/proxy/forward.rs
+++ b/crates/oatcoved/src/proxy/forward.rs
@@ -45,7 +45,7 @@
     /// Connections this node may have to one upstream.
     connection_share: u32,
     idempotent: bool,
-    kind: balance::Kind,
+    kind: balance::CallKind,
 }
 
 impl Call<'_> {
@@ -83,11 +83,11 @@
     service: &'a SmolStr,
     team: &'a SmolStr,
     began: Instant,
-    ended: limit::Ended,
+    ended: limit::Outcome,
 }
 
 impl TakenIn<'_> {
-    fn end(mut self, ended: limit::Ended) {
+    fn end(mut self, ended: limit::Outcome) {
         self.ended = ended;
     }
 }
@@ -95,7 +95,7 @@
 impl Drop for TakenIn<'_> {
     fn drop(&mut self) {
         if let Some(intake) = self.node.intakes.borrow_mut().get_mut(self.service) {
-            intake.limiter.end(self.team, self.ended, self.began, Instant::now());
+            intake.limiter.release(self.team, self.ended, self.began, Instant::now());
         }
     }
 }
@@ -140,11 +140,11 @@
         let ended = self.attempts(&call).await;
         let took = taken_in.began.elapsed();
         taken_in.end(match &ended {
-            Ended::Answered(_) if self.was_slow(&call, took) => limit::Ended::Slow,
-            Ended::Answered(_) => limit::Ended::Served,
-            Ended::NotRun { refused: true } => limit::Ended::Refused,
+            Ended::Answered(_) if self.was_slow(&call, took) => limit::Outcome::Slow,
+            Ended::Answered(_) => limit::Outcome::Served,
+            Ended::NotRun { refused: true } => limit::Outcome::Refused,
             Ended::NotRun { refused: false } | Ended::HeldBack(_) | Ended::Unknown(_) => {
-                limit::Ended::Other
+                limit::Outcome::Other
             }
         });
         let mut view = self.view.borrow_mut();
@@ -233,16 +233,16 @@
         let mut intakes = self.intakes.borrow_mut();
         let intake = intakes.entry(call.service.clone()).or_default();
         let began = Instant::now();
-        if !intake.limiter.begin(&call.team, began) {
+        if !intake.limiter.try_acquire(&call.team, began) {
             return None;
         }
-        intake.retries.first_send(call.params.retry_budget_percent);
+        intake.retries.deposit(call.params.retry_budget_percent);
         Some(TakenIn {
             node: self,
             service: &call.service,
             team: &call.team,
             began,
-            ended: limit::Ended::Other,
+            ended: limit::Outcome::Other,
         })
     }
 
@@ -310,13 +310,13 @@
         let now = Instant::now();
         let barred = view.barred(&call.service, now);
         let pool = view.pools.get_mut(&call.service)?;
-        let ask = balance::Ask {
+        let ask = balance::SelectionCriteria {
             policy: policy(call.params.balance),
             zone: &call.zone,
             zone_affinity: call.params.zone_affinity,
             tried,
-            barred: &barred,
-            most_outstanding: call.connection_share,
+            excluded: &barred,
+            max_outstanding: call.connection_share,
         };
         let index = pool.pick(ask, now, &mut *self.rng.borrow_mut())?;
         Some(pool.upstreams[index].addr)
@@ -326,7 +326,7 @@
     fn second_send(&self, call: &Call<'_>) -> bool {
         let mut intakes = self.intakes.borrow_mut();
         let intake = intakes.entry(call.service.clone()).or_default();
-        let allowed = intake.retries.second_send();
+        let allowed = intake.retries.try_withdraw();
         let mut view = self.view.borrow_mut();
         match allowed {
             true => view.counters.retries += 1,
@@ -353,17 +353,17 @@
         let result = self.idle.send(addr, request, remaining, call.connection_share, hear).await;
         let took = outstanding.took();
         outstanding.finish(match &result {
-            Attempt::Answered(response) if is_broken(response) => balance::How::Failed,
-            Attempt::Answered(_) => balance::How::Answered,
-            Attempt::Refused => balance::How::Refused,
+            Attempt::Answered(response) if is_broken(response) => balance::Outcome::Failed,
+            Attempt::Answered(_) => balance::Outcome::Answered,
+            Attempt::Refused => balance::Outcome::Refused,
             // A caller that waits only briefly says nothing of the upstream: counted as
             // failures, its time-outs would eject upstreams that serve everyone else.
             Attempt::Lost(web::Error::Timeout)
                 if 2 * took < Duration::from_millis(call.params.timeout_ms) =>
             {
-                balance::How::GivenUp
+                balance::Outcome::Cancelled
             }
-            Attempt::NotSent | Attempt::Lost(_) => balance::How::Failed,
+            Attempt::NotSent | Attempt::Lost(_) => balance::Outcome::Failed,
         });
         log::debug!(
             "service={} request_id={} upstream={addr} took_us={}",
@@ -429,7 +429,7 @@
     /// Returns how long to wait before a hedge, or `None` when one would come too late.
     fn hedge_after(&self, call: &Call<'_>) -> Option<Duration> {
         let view = self.view.borrow();
-        let mean = view.pools.get(&call.service)?.kind_mean(call.kind)?;
+        let mean = view.pools.get(&call.service)?.mean_latency(call.kind)?;
         let after = mean.mul_f64(HEDGE_AFTER).max(HEDGE_AFTER_LEAST);
         (after < call.remaining()).then_some(after)
     }
@@ -438,14 +438,14 @@
     fn was_slow(&self, call: &Call<'_>, took: Duration) -> bool {
         let view = self.view.borrow();
         let pool = view.pools.get(&call.service);
-        let floor = pool.and_then(|pool| pool.kind_floor(call.kind, Instant::now()));
+        let floor = pool.and_then(|pool| pool.baseline_latency(call.kind, Instant::now()));
         floor.is_some_and(|floor| took > floor.mul_f64(SLOW_FROM))
     }
 
     /// Returns how long the service is likely to stay busy: about one call's time.
     fn busy_for(&self, call: &Call<'_>) -> Duration {
         let view = self.view.borrow();
-        let mean = view.pools.get(&call.service).and_then(|pool| pool.kind_mean(call.kind));
+        let mean = view.pools.get(&call.service).and_then(|pool| pool.mean_latency(call.kind));
         mean.unwrap_or_default()
     }
 }
@@ -490,7 +490,7 @@
 }
 
 /// Returns the kind of a call: its method and the first segment of its path.
-fn kind(method: &http::Method, path: &str) -> balance::Kind {
+fn kind(method: &http::Method, path: &str) -> balance::CallKind {
     let path = path.split(['?', '#']).next().unwrap_or(path);
     let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
     let mut hasher = siphasher::sip::SipHasher13::new();
