--- a/crates/edge/src/forward/call.rs
+++ b/crates/edge/src/forward/call.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::HeaderValue;
 use place::{Incarnation, UpstreamId};
-use quarantine::Content;
+use quarantine::ContentKey;
 use route::{Repeat, Route, ServiceName};
 use serde::Serialize;
 use web::h1;
@@ -22,7 +22,7 @@
     pub(super) head: &'a h1::RequestHead,
     pub(super) request_id: HeaderValue,
     /// What it asks, once somebody wanted to know: [`Call::content`].
-    pub(super) content: OnceCell<Content>,
+    pub(super) content: OnceCell<ContentKey>,
     /// Its body as far as it was received when it came.
     pub(super) body_start: Bytes,
     pub(super) route: &'a Route,
@@ -117,7 +117,7 @@
 
     /// Returns what it asks: the same under each id that its caller gives it. Requests in no
     /// trouble never need to know, and are spared the digest.
-    pub(super) fn content(&self) -> Content {
+    pub(super) fn content(&self) -> ContentKey {
         *self.content.get_or_init(|| content::of(self.head, &self.body_start))
     }
 
--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -65,7 +65,7 @@
                 return Err(NoChoice::CallerLeft);
             }
             let mut best = ranked.first().ok_or_else(|| self.no_upstream(call))?;
-            if verdict == quarantine::Verdict::Apart {
+            if verdict == quarantine::Decision::Isolate {
                 best = self.apart(call, &ranked).unwrap_or(best);
             }
             match self.judge(call, best, may_look) {
--- a/crates/edge/src/forward/content.rs
+++ b/crates/edge/src/forward/content.rs
@@ -1,6 +1,6 @@
 //! What a request asks, as a key that is the same for each attempt.
 
-use quarantine::Content;
+use quarantine::ContentKey;
 use web::h1;
 
 /// Bytes of a body that count. So much of a long one is at hand before it is sent on, however it
@@ -11,7 +11,7 @@
 ///
 /// Its id and its deadline are new with each attempt, and from where it is sent says little of who
 /// asks. `body` is its body as far as it was received before it was sent on.
-pub(crate) fn of(head: &h1::RequestHead, body: &[u8]) -> Content {
+pub(crate) fn of(head: &h1::RequestHead, body: &[u8]) -> ContentKey {
     let line = [head.method.as_str(), head.host.as_str(), head.target.as_str()].map(str::as_bytes);
     let caller = web::credentials(&head.headers);
     let length = match head.framing {
@@ -19,7 +19,7 @@
         _ => Default::default(),
     };
     let body = [length.as_slice(), &body[..body.len().min(BODY_BYTES)]];
-    Content::of(line.into_iter().chain(caller).chain(body))
+    ContentKey::of(line.into_iter().chain(caller).chain(body))
 }
 
 #[cfg(test)]
--- a/crates/edge/src/forward/content/tests.rs
+++ b/crates/edge/src/forward/content/tests.rs
@@ -1,7 +1,7 @@
-use quarantine::Content;
+use quarantine::ContentKey;
 use web::h1;
 
-fn content(text: &str, body: &str) -> Content {
+fn content(text: &str, body: &str) -> ContentKey {
     let parsed = h1::parse_request(text.as_bytes(), 4_096).expect("a request");
     let (head, _) = parsed.expect("a whole head");
     super::of(&head, body.as_bytes())
--- a/crates/edge/src/forward/ends.rs
+++ b/crates/edge/src/forward/ends.rs
@@ -6,7 +6,7 @@
 
 use local_sync::oneshot;
 use place::Incarnation;
-use quarantine::{Known, Lost};
+use quarantine::{FindingVersion, LostRequest};
 
 use super::call::{Call, Choice};
 use super::Node;
@@ -24,12 +24,13 @@
         self: &Rc<Node>,
         call: &Call<'_>,
         choice: &Choice,
-        known: Known,
+        known: FindingVersion,
         took: Duration,
     ) {
-        let lost = Lost { content: call.content(), known, ran_ms: as_ms(took) };
+        let lost = LostRequest { content: call.content(), known, ran_ms: as_ms(took) };
         let start = start_of(&choice.upstream);
-        let has_ended = self.state.borrow_mut().ends.lost(start, lost.clone(), Instant::now());
+        let has_ended =
+            self.state.borrow_mut().ends.record_lost_response(start, lost.clone(), Instant::now());
         if has_ended {
             return self.ended_under(&choice.upstream, &[lost]);
         }
@@ -64,7 +65,11 @@
     /// Records that an upstream has ended: its address refuses connections, or is
     /// another's now, or it has started again.
     pub(crate) fn has_ended(&self, upstream: &Incarnation) {
-        let lost = self.state.borrow_mut().ends.refused(start_of(upstream), Instant::now());
+        let lost = self
+            .state
+            .borrow_mut()
+            .ends
+            .record_refused_connection(start_of(upstream), Instant::now());
         if !lost.is_empty() {
             self.state.borrow_mut().counters.upstreams_ended += 1;
             self.ended_under(upstream, &lost);
@@ -72,7 +77,7 @@
     }
 
     /// Takes that an upstream ended while requests were under way there.
-    fn ended_under(&self, upstream: &Incarnation, lost: &[Lost]) {
+    fn ended_under(&self, upstream: &Incarnation, lost: &[LostRequest]) {
         trace::Line::new("upstream_ended")
             .field("upstream", upstream.id())
             .field("under_way", lost)
--- a/crates/edge/src/forward/held.rs
+++ b/crates/edge/src/forward/held.rs
@@ -4,7 +4,7 @@
 
 use local_sync::mpsc::unbounded::Tx;
 use place::{Candidate, Incarnation};
-use quarantine::{Content, Finding, Known, Lost, Start, Verdict};
+use quarantine::{ContentKey, Decision, Finding, FindingVersion, LostRequest, Start};
 
 use super::call::{Call, NoChoice};
 use super::Node;
@@ -14,13 +14,13 @@
 /// A suspected request counted as under way at an upstream while this lives.
 pub(super) struct UnderWay {
     state: Shared,
-    content: Content,
+    content: ContentKey,
     start: Start,
 }
 
 impl Drop for UnderWay {
     fn drop(&mut self) {
-        self.state.borrow_mut().quarantine.end(self.content, self.start);
+        self.state.borrow_mut().quarantine.end_attempt(self.content, self.start);
     }
 }
 
@@ -31,21 +31,21 @@
     }
 
     /// Returns what is to be done with a request.
-    pub(super) fn verdict(&self, call: &Call<'_>) -> Verdict {
+    pub(super) fn verdict(&self, call: &Call<'_>) -> Decision {
         let state = self.state.borrow();
         match state.quarantine.is_empty() {
-            true => Verdict::Free,
+            true => Decision::Allow,
             false => {
                 let may_try = || record::is_recorder(&state, Duration::ZERO);
-                state.quarantine.verdict(call.content(), may_try, unix_ms())
+                state.quarantine.decide(call.content(), may_try, unix_ms())
             }
         }
     }
 
     /// Returns what is to be done with a request that may be sent.
-    pub(super) fn not_held_back(&self, call: &Call<'_>) -> Result<Verdict, NoChoice> {
+    pub(super) fn not_held_back(&self, call: &Call<'_>) -> Result<Decision, NoChoice> {
         match self.verdict(call) {
-            Verdict::Refused(come_back) => Err(NoChoice::HeldBack { come_back }),
+            Decision::Reject(come_back) => Err(NoChoice::HeldBack { come_back }),
             verdict => Ok(verdict),
         }
     }
@@ -53,7 +53,7 @@
     /// Returns true for a request that has crashed upstreams one after the other.
     pub(super) fn is_likely(&self, call: &Call<'_>) -> bool {
         let state = self.state.borrow();
-        !state.quarantine.is_empty() && state.quarantine.is_likely(call.content())
+        !state.quarantine.is_empty() && state.quarantine.has_repeated_crashes(call.content())
     }
 
     /// Returns what is known of a request that is being sent, and counts it if it is suspected.
@@ -61,16 +61,16 @@
         &self,
         call: &Call<'_>,
         upstream: &Incarnation,
-    ) -> (Known, Option<UnderWay>) {
+    ) -> (FindingVersion, Option<UnderWay>) {
         let ledger = &mut self.state.borrow_mut().quarantine;
         if ledger.is_empty() {
-            return (Known::default(), None);
+            return (FindingVersion::default(), None);
         }
         let (content, start) = (call.content(), start_of(upstream));
-        let known = ledger.known(content);
-        let is_suspected = ledger.verdict(content, || true, unix_ms()) == Verdict::Apart;
+        let known = ledger.version(content);
+        let is_suspected = ledger.decide(content, || true, unix_ms()) == Decision::Isolate;
         let under_way = is_suspected.then(|| {
-            ledger.begin(content, start);
+            ledger.begin_attempt(content, start);
             UnderWay { state: self.state.clone(), content, start }
         });
         (known, under_way)
@@ -88,14 +88,15 @@
         let most = call.left().min(call.objective_left().max(call.route.objective));
         let in_time = ranked.iter().filter(|candidate| candidate.prediction.took <= most);
         let in_time = in_time.map(|candidate| candidate.index);
-        let chosen = state.quarantine.choose_apart(call.content(), &starts, in_time)?;
+        let chosen = state.quarantine.choose_isolated(call.content(), &starts, in_time)?;
         ranked.iter().find(|candidate| candidate.index == chosen)
     }
 
     /// Takes that an upstream crashed while it ran a request.
-    pub(super) fn crashed(&self, lost: &Lost, start: Start) {
+    pub(super) fn crashed(&self, lost: &LostRequest, start: Start) {
         let now = unix_ms();
-        let held = self.state.borrow_mut().quarantine.crashed(lost.content, lost.known, start, now);
+        let held =
+            self.state.borrow_mut().quarantine.record_crash(lost.content, lost.known, start, now);
         if let Some(finding) = held {
             log_held(&finding, "this node");
         }
@@ -108,7 +109,7 @@
             return;
         }
         let was_held = self.state.borrow().quarantine.is_held(call.content());
-        if self.state.borrow_mut().quarantine.answered(call.content(), unix_ms()) {
+        if self.state.borrow_mut().quarantine.record_response(call.content(), unix_ms()) {
             if was_held {
                 log_cleared(call.content(), "an answer");
             }
@@ -120,7 +121,7 @@
     pub(crate) fn hear_finding(&self, finding: &Finding, teller: &'static str) {
         let content = finding.content;
         let was_held = self.state.borrow().quarantine.is_held(content);
-        let news = self.state.borrow_mut().quarantine.hear(finding, unix_ms());
+        let news = self.state.borrow_mut().quarantine.merge_remote(finding, unix_ms());
         let Some(known) = news else { return };
         let is_held = self.state.borrow().quarantine.is_held(content);
         match (was_held, is_held) {
@@ -149,6 +150,6 @@
         .log();
 }
 
-fn log_cleared(content: Content, by: &'static str) {
+fn log_cleared(content: ContentKey, by: &'static str) {
     trace::Line::new("cleared").field("content", content).field("by", by).log();
 }
--- a/crates/edge/src/forward/sends.rs
+++ b/crates/edge/src/forward/sends.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use http::{HeaderValue, StatusCode};
-use quarantine::Verdict;
+use quarantine::Decision;
 use web::h1;
 
 use super::call::{Call, Choice, NoChoice, Tried};
@@ -175,7 +175,7 @@
             // A second copy of a suspected request beside the first could crash a second upstream.
             let hedgeable = call.repeatable()
                 && tried.arrived < call.route.attempts
-                && self.verdict(call) == Verdict::Free;
+                && self.verdict(call) == Decision::Allow;
             let hopeless = factor < HEDGE_LOST_FROM && call.objective_left() < choice.predicted;
             if !hedgeable || hopeless {
                 continue;
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -66,7 +66,7 @@
                 member::Event::Finding(finding) => node.hear_finding(&finding, "a peer"),
                 member::Event::Notice(notice) => node.hear_peer_notice(&notice),
                 member::Event::Differs { addr, held_digest } => {
-                    let known = node.state.borrow().quarantine.to_tell_a_peer(held_digest);
+                    let known = node.state.borrow().quarantine.findings_for_peer(held_digest);
                     out.extend(members.tell_all(addr, known, now));
                 }
                 event => apply(&node, event),
@@ -93,7 +93,7 @@
 /// Tells peers what is news of requests that crash upstreams.
 fn tell_findings(members: &mut member::Members, node: &Node) -> Vec<member::Outgoing> {
     let ledger = &mut node.state.borrow_mut().quarantine;
-    let news = ledger.take_news(unix_ms());
+    let news = ledger.take_new_findings(unix_ms());
     members.set_held_digest(ledger.digest());
     news.into_iter().flat_map(|news| members.spread(news)).collect()
 }
--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use quarantine::{Content, Finding};
+use quarantine::{ContentKey, Finding};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
@@ -92,16 +92,16 @@
 /// What this node knows of what is kept.
 #[derive(Default)]
 struct Known {
-    rows: HashMap<Content, Kept>,
+    rows: HashMap<ContentKey, Kept>,
     cursor: Cursor,
     /// What operators wrote of late, and when this node read it.
-    words: HashMap<Content, (Hold, Instant)>,
+    words: HashMap<ContentKey, (Hold, Instant)>,
 }
 
 impl Known {
     /// Returns what is still known when all that is kept has to be read again.
     fn to_be_read(&self) -> Known {
-        let is_recent = |(_, (_, at)): &(&Content, &(Hold, Instant))| at.elapsed() < WORDS_FOR;
+        let is_recent = |(_, (_, at)): &(&ContentKey, &(Hold, Instant))| at.elapsed() < WORDS_FOR;
         let words = self.words.iter().filter(is_recent);
         let words = words.map(|(content, word)| (*content, word.clone())).collect();
         Known { words, ..Known::default() }
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -176,9 +176,9 @@
     /// Deadlines that callers state, by kind of request.
     pub attempts: place::Attempts,
     /// Upstreams that ended of late, and the requests that were under way there.
-    pub ends: quarantine::Ends,
+    pub ends: quarantine::CrashDetector,
     /// Requests that crash upstreams.
-    pub quarantine: quarantine::Ledger,
+    pub quarantine: quarantine::Quarantine,
     /// What upstreams have stated about themselves.
     pub notices: notice::Board,
     /// Second sends allowed, by service.
@@ -232,8 +232,8 @@
             pools: HashMap::new(),
             works: place::Works::default(),
             attempts: place::Attempts::default(),
-            ends: quarantine::Ends::default(),
-            quarantine: quarantine::Ledger::default(),
+            ends: quarantine::CrashDetector::default(),
+            quarantine: quarantine::Quarantine::default(),
             notices: notice::Board::of_node(node_seed),
             sends: HashMap::new(),
             unrecorded: crate::record::Unrecorded::default(),
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use quarantine::{Content, Ledger, Start};
+use quarantine::{ContentKey, Quarantine, Start};
 use web::h1;
 
 use super::crashing::{ask, Asked, Cluster, Platform, SLOTS};
@@ -410,7 +410,7 @@
 }
 
 /// Returns the key of a request without a body.
-fn content(path: &str) -> Content {
+fn content(path: &str) -> ContentKey {
     let text = get(path, "0");
     let parsed = h1::parse_request(text.as_bytes(), 4_096).expect("a request");
     let (head, _) = parsed.expect("a whole head");
@@ -426,8 +426,8 @@
         let paths = ["/get/a/long", "/get/b/long", "/get/c/long"];
         for path in paths {
             let ledger = &mut cluster.nodes[0].state.borrow_mut().quarantine;
-            let known = ledger.known(content(path));
-            ledger.crashed(content(path), known, Start::of("u", 1), crate::unix_ms());
+            let known = ledger.version(content(path));
+            ledger.record_crash(content(path), known, Start::of("u", 1), crate::unix_ms());
         }
         // One looks best to all of them.
         for (index, slowness) in [(0, 1.0), (1, 2.0), (2, 2.0)] {
@@ -474,11 +474,11 @@
         let mut caller = Caller::connect(cluster.fronts[0]).await;
         caller.write(&get("/get/crash", "1")).await;
         monoio::time::sleep(ms(4)).await;
-        let mut other = Ledger::default();
+        let mut other = Quarantine::default();
         let content = content("/get/crash");
         for n in 0..3 {
-            let known = other.known(content);
-            other.crashed(content, known, Start::of("u", n), crate::unix_ms());
+            let known = other.version(content);
+            other.record_crash(content, known, Start::of("u", n), crate::unix_ms());
         }
         let finding = other.held().next().expect("it is held back").clone();
         node.hear_finding(&finding, "a peer");
--- a/crates/edge/src/tests/leaving.rs
+++ b/crates/edge/src/tests/leaving.rs
@@ -143,14 +143,14 @@
         let one = Upstream::start(vec![vec![leaving()]]);
         let entered = start(&[&one]);
         Caller::connect(entered.addr).await.ask(&get("/get/1", "1")).await;
-        let lost = quarantine::Lost {
-            content: quarantine::Content::of([b"/get/1".as_slice()]),
-            known: quarantine::Known::default(),
+        let lost = quarantine::LostRequest {
+            content: quarantine::ContentKey::of([b"/get/1".as_slice()]),
+            known: quarantine::FindingVersion::default(),
             ran_ms: 5,
         };
         let start = crate::start_of(&up("u0"));
         let now = Instant::now();
-        entered.node.state.borrow_mut().ends.lost(start, lost, now);
+        entered.node.state.borrow_mut().ends.record_lost_response(start, lost, now);
         entered.node.has_ended(&up("u0"));
         assert!(entered.node.state.borrow().quarantine.findings().is_empty());
     });
--- a/crates/member/src/findings.rs
+++ b/crates/member/src/findings.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use quarantine::{Finding, News};
+use quarantine::{Finding, NewFinding};
 use rand::seq::IteratorRandom;
 use wire::{Packet, Sender};
 
@@ -29,8 +29,8 @@
 
     /// Spreads what is known of a request that crashed upstreams: a few peers are told at once, and
     /// what is of weight rides on pings too.
-    pub fn spread(&mut self, news: News) -> Vec<Outgoing> {
-        if news.is_weighty {
+    pub fn spread(&mut self, news: NewFinding) -> Vec<Outgoing> {
+        if news.must_reach_all {
             self.queue.push_finding(news.finding.clone());
         }
         self.tell_a_few(Packet { findings: vec![news.finding], ..self.news() })
--- a/crates/member/src/tests.rs
+++ b/crates/member/src/tests.rs
@@ -35,7 +35,7 @@
     waiting: Vec<(SocketAddr, Packet)>,
     heard: Vec<Event>,
     /// What it knows of requests that crash upstreams.
-    ledger: quarantine::Ledger,
+    ledger: quarantine::Quarantine,
     board: notice::Board,
 }
 
@@ -169,16 +169,16 @@
         for event in events {
             match event {
                 Event::Finding(finding) => {
-                    ledger.hear(finding, unix_ms);
+                    ledger.merge_remote(finding, unix_ms);
                 }
                 Event::Differs { addr, held_digest } => {
-                    let known = ledger.to_tell_a_peer(*held_digest);
+                    let known = ledger.findings_for_peer(*held_digest);
                     out.extend(members.tell_all(*addr, known, self.now));
                 }
                 _ => {}
             }
         }
-        let news = ledger.take_news(unix_ms);
+        let news = ledger.take_new_findings(unix_ms);
         members.set_held_digest(ledger.digest());
         out.extend(news.into_iter().flat_map(|news| members.spread(news)));
         out
--- a/crates/member/src/tests/findings.rs
+++ b/crates/member/src/tests/findings.rs
@@ -1,6 +1,6 @@
 //! How what is known of requests that crash upstreams comes to all nodes.
 
-use quarantine::{Content, Start};
+use quarantine::{ContentKey, Start};
 
 use super::*;
 
@@ -13,8 +13,8 @@
 /// Longest encoding of a digest, which each packet has.
 const DIGEST_BYTES: u64 = 10;
 
-fn content(n: u64) -> Content {
-    Content::of([n.to_be_bytes().as_slice()])
+fn content(n: u64) -> ContentKey {
+    ContentKey::of([n.to_be_bytes().as_slice()])
 }
 
 impl Net {
@@ -23,9 +23,9 @@
         for node in 0..3 {
             let unix_ms = (self.now - self.start).as_millis() as u64;
             let ledger = &mut self.nodes[node].ledger;
-            let known = ledger.known(content(request));
+            let known = ledger.version(content(request));
             let start = Start::of("u", 10 * request + node as u64);
-            ledger.crashed(content(request), known, start, unix_ms);
+            ledger.record_crash(content(request), known, start, unix_ms);
             self.run(Duration::from_secs(1));
         }
     }
@@ -142,8 +142,8 @@
         for lost in 0..4 {
             let (request, start) = (1_000 + 4 * node + lost, (7 * node + lost) % 160);
             let ledger = &mut net.nodes[node as usize].ledger;
-            let known = ledger.known(content(request));
-            ledger.crashed(content(request), known, Start::of("u", start), unix_ms);
+            let known = ledger.version(content(request));
+            ledger.record_crash(content(request), known, Start::of("u", start), unix_ms);
         }
     }
     net.run(Duration::from_secs(10));
--- a/crates/oatcoved/src/gossip.rs
+++ b/crates/oatcoved/src/gossip.rs
@@ -71,7 +71,7 @@
         for event in members.take_events() {
             match event {
                 member::Event::Differs { addr, held_digest } => {
-                    let known = view.borrow().quarantine.to_tell_a_peer(held_digest);
+                    let known = view.borrow().quarantine.findings_for_peer(held_digest);
                     out.extend(members.tell_all(addr, known, now));
                 }
                 event => apply(&mut view.borrow_mut(), event),
@@ -94,11 +94,11 @@
 /// Tells peers what is news of calls that crash upstreams.
 fn tell_findings(
     members: &mut member::Members,
-    ledger: &mut quarantine::Ledger,
+    ledger: &mut quarantine::Quarantine,
 ) -> Vec<member::Outgoing> {
     let now = unix_ms();
     ledger.expire(now);
-    let news = ledger.take_news(now);
+    let news = ledger.take_new_findings(now);
     members.set_held_digest(ledger.digest());
     news.into_iter().flat_map(|news| members.spread(news)).collect()
 }
@@ -173,7 +173,7 @@
         }
         member::Event::Note(note) => view.report(note.upstream, note.watcher, note.verdict),
         member::Event::Finding(finding) => {
-            view.quarantine.hear(&finding, unix_ms());
+            view.quarantine.merge_remote(&finding, unix_ms());
         }
         member::Event::Notice(notice) => {
             view.hear_peer_notice(&notice);
--- a/crates/oatcoved/src/proxy/forward.rs
+++ b/crates/oatcoved/src/proxy/forward.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use http::{HeaderValue, StatusCode};
-use quarantine::{Content, Verdict};
+use quarantine::{ContentKey, Decision};
 use smol_str::SmolStr;
 
 use super::attempt::{Attempt, Outstanding};
@@ -33,7 +33,7 @@
 pub(super) struct Call<'a> {
     request: &'a web::Request,
     /// What it asks, once somebody wanted to know: [`Call::content`].
-    content: OnceCell<Content>,
+    content: OnceCell<ContentKey>,
     request_id: HeaderValue,
     pub(super) service: SmolStr,
     path: &'a str,
@@ -50,7 +50,7 @@
 
 impl Call<'_> {
     /// Returns what it asks: the same under each id that its caller gives it.
-    pub(super) fn content(&self) -> Content {
+    pub(super) fn content(&self) -> ContentKey {
         *self.content.get_or_init(|| held::content(self.request, &self.service, self.path))
     }
 
@@ -400,7 +400,7 @@
     ) -> Attempt {
         let mut first = pin!(self.attempt(call, addr));
         // A second copy of a suspected call beside the first could crash a second upstream.
-        let may_hedge = self.verdict(call) == Verdict::Free;
+        let may_hedge = self.verdict(call) == Decision::Allow;
         let Some(after) = self.hedge_after(call).filter(|_| may_hedge) else {
             return first.await;
         };
--- a/crates/oatcoved/src/proxy/held.rs
+++ b/crates/oatcoved/src/proxy/held.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use monoio::net::TcpStream;
-use quarantine::{Content, Known, Lost, Start, Verdict};
+use quarantine::{ContentKey, Decision, FindingVersion, LostRequest, Start};
 
 use super::forward::Call;
 use super::Node;
@@ -21,23 +21,23 @@
 /// A suspected call counted as under way at an upstream while this lives.
 pub(super) struct UnderWay<'a> {
     node: &'a Node,
-    content: Content,
+    content: ContentKey,
     start: Start,
 }
 
 impl Drop for UnderWay<'_> {
     fn drop(&mut self) {
-        self.node.view.borrow_mut().quarantine.end(self.content, self.start);
+        self.node.view.borrow_mut().quarantine.end_attempt(self.content, self.start);
     }
 }
 
 /// Returns what a call asks: the same under each id that its caller gives it.
-pub(super) fn content(request: &web::Request, service: &str, path: &str) -> Content {
+pub(super) fn content(request: &web::Request, service: &str, path: &str) -> ContentKey {
     let team = request.headers().get(crate::TEAM).map_or(&[][..], |team| team.as_bytes());
     let line = [request.method().as_str(), service, path].map(str::as_bytes);
     let caller = web::credentials(request.headers());
     let rest = [team, request.body().as_ref()];
-    Content::of(line.into_iter().chain(caller).chain(rest))
+    ContentKey::of(line.into_iter().chain(caller).chain(rest))
 }
 
 /// Where a suspected call does not run, so that a crash tells which call it was.
@@ -51,20 +51,20 @@
 impl Node {
     /// Returns what is to be done with a call. Which node tries one again whose time is over: the
     /// first by address of those that are alive.
-    pub(super) fn verdict(&self, call: &Call<'_>) -> Verdict {
+    pub(super) fn verdict(&self, call: &Call<'_>) -> Decision {
         let view = self.view.borrow();
         if view.quarantine.is_empty() {
-            return Verdict::Free;
+            return Decision::Allow;
         }
         let me = view.settings.listen_addr;
         let alive = |peer: &crate::view::Peer| peer.standing == Some(wire::Standing::Alive);
         let may_try = || !view.peers.iter().any(|(addr, peer)| *addr < me && alive(peer));
-        view.quarantine.verdict(call.content(), may_try, gossip::unix_ms())
+        view.quarantine.decide(call.content(), may_try, gossip::unix_ms())
     }
 
     /// Returns when to come back for a call that is not to be sent; `None` for others.
     pub(super) fn held_back(&self, call: &Call<'_>) -> Option<Duration> {
-        let Verdict::Refused(come_back) = self.verdict(call) else { return None };
+        let Decision::Reject(come_back) = self.verdict(call) else { return None };
         self.view.borrow_mut().counters.refused_crashing += 1;
         Some(come_back)
     }
@@ -72,7 +72,7 @@
     /// Returns true for a call that has crashed upstreams one after the other.
     pub(super) fn is_likely(&self, call: &Call<'_>) -> bool {
         let ledger = &self.view.borrow().quarantine;
-        !ledger.is_empty() && ledger.is_likely(call.content())
+        !ledger.is_empty() && ledger.has_repeated_crashes(call.content())
     }
 
     /// Returns what is known of a call that is being sent, and counts it if it is suspected.
@@ -80,37 +80,39 @@
         &self,
         call: &Call<'_>,
         addr: SocketAddr,
-    ) -> (Known, Option<UnderWay<'_>>) {
+    ) -> (FindingVersion, Option<UnderWay<'_>>) {
         let ledger = &mut self.view.borrow_mut().quarantine;
         if ledger.is_empty() {
-            return (Known::default(), None);
+            return (FindingVersion::default(), None);
         }
         let (content, start) = (call.content(), start_of(addr));
-        let is_suspected = ledger.verdict(content, || true, gossip::unix_ms()) == Verdict::Apart;
+        let is_suspected = ledger.decide(content, || true, gossip::unix_ms()) == Decision::Isolate;
         let under_way = is_suspected.then(|| {
-            ledger.begin(content, start);
+            ledger.begin_attempt(content, start);
             UnderWay { node: self, content, start }
         });
-        (ledger.known(content), under_way)
+        (ledger.version(content), under_way)
     }
 
     /// Returns where a suspected call is to run apart from other such calls; `None` for any other.
     pub(super) fn apart(&self, call: &Call<'_>) -> Option<Apart> {
-        if self.verdict(call) != Verdict::Apart {
+        if self.verdict(call) != Decision::Isolate {
             return None;
         }
         let view = self.view.borrow();
         let pool = view.pools.get(&call.service)?;
         let addrs = pool.upstreams.iter().map(|upstream| upstream.addr);
         let starts: Vec<Start> = addrs.clone().map(start_of).collect();
-        let (content, places) = (call.content(), view.quarantine.places(&starts));
+        let (content, places) = (call.content(), view.quarantine.reservations(&starts));
         let is_taken = |addr: &SocketAddr| {
             let start = start_of(*addr);
-            !view.quarantine.is_apart(start) || places.is_for_another(start, content)
+            !view.quarantine.has_no_suspects(start) || places.is_reserved_for_other(start, content)
         };
-        let is_elsewhere = |addr: &SocketAddr| !places.is_for(start_of(*addr), content);
+        let is_elsewhere = |addr: &SocketAddr| !places.is_reserved_for(start_of(*addr), content);
         Some(Apart {
-            elsewhere: places.of(content).map(|_| addrs.clone().filter(is_elsewhere).collect()),
+            elsewhere: places
+                .start_for(content)
+                .map(|_| addrs.clone().filter(is_elsewhere).collect()),
             taken: addrs.clone().filter(is_taken).collect(),
         })
     }
@@ -119,7 +121,7 @@
     pub(super) fn ran(&self, call: &Call<'_>) {
         let is_empty = self.view.borrow().quarantine.is_empty();
         let cleared = !is_empty
-            && self.view.borrow_mut().quarantine.answered(call.content(), gossip::unix_ms());
+            && self.view.borrow_mut().quarantine.record_response(call.content(), gossip::unix_ms());
         if cleared {
             self.wake_gossip();
         }
@@ -131,25 +133,32 @@
         &self,
         call: &Call<'_>,
         addr: SocketAddr,
-        known: Known,
+        known: FindingVersion,
         ran: Duration,
     ) {
-        let lost = Lost { content: call.content(), known, ran_ms: ran.as_millis() as u64 };
-        let has_ended =
-            self.view.borrow_mut().ends.lost(start_of(addr), lost.clone(), Instant::now());
+        let lost = LostRequest { content: call.content(), known, ran_ms: ran.as_millis() as u64 };
+        let has_ended = self.view.borrow_mut().ends.record_lost_response(
+            start_of(addr),
+            lost.clone(),
+            Instant::now(),
+        );
         if has_ended {
             return self.ended_under(addr, &[lost]);
         }
         let connecting = monoio::time::timeout(LOOK_FOR, TcpStream::connect_addr(addr));
         let refused = |err: &io::Error| err.kind() == io::ErrorKind::ConnectionRefused;
         if matches!(connecting.await, Ok(Err(err)) if refused(&err)) {
-            let lost = self.view.borrow_mut().ends.refused(start_of(addr), Instant::now());
+            let lost = self
+                .view
+                .borrow_mut()
+                .ends
+                .record_refused_connection(start_of(addr), Instant::now());
             self.ended_under(addr, &lost);
         }
     }
 
     /// Takes that an upstream ended while calls were under way there.
-    fn ended_under(&self, addr: SocketAddr, lost: &[Lost]) {
+    fn ended_under(&self, addr: SocketAddr, lost: &[LostRequest]) {
         if lost.is_empty() {
             return;
         }
@@ -163,7 +172,7 @@
             return;
         }
         for lost in lost {
-            let held = view.quarantine.crashed(lost.content, lost.known, start_of(addr), now);
+            let held = view.quarantine.record_crash(lost.content, lost.known, start_of(addr), now);
             if let Some(finding) = held {
                 log::warn!("a call is held back, it crashes upstreams: {finding:?}");
             }
--- a/crates/oatcoved/src/view.rs
+++ b/crates/oatcoved/src/view.rs
@@ -110,9 +110,9 @@
     /// Bad verdicts on upstreams, by upstream and watcher.
     pub reports: BTreeMap<SocketAddr, BTreeMap<SocketAddr, wire::Verdict>>,
     /// Upstreams that ended of late, and the calls that were under way there.
-    pub ends: quarantine::Ends,
+    pub ends: quarantine::CrashDetector,
     /// Calls that crash upstreams.
-    pub quarantine: quarantine::Ledger,
+    pub quarantine: quarantine::Quarantine,
     /// What upstreams have stated about themselves.
     pub notices: notice::Board,
     /// Calls being forwarded.
--- a/crates/quarantine/src/ends.rs
+++ b/crates/quarantine/src/ends.rs
@@ -1,4 +1,4 @@
-//! What was under way at an upstream when it ended.
+//! Finds the requests that were under way at an upstream when it crashed.
 
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -8,25 +8,27 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-use crate::{Content, Known};
+use crate::{ContentKey, FindingVersion};
 
-/// A lost answer is taken for the sign of an end that is found within this time: connections to
-/// the upstream are tried again within it, as it gets trials.
-const SIGN_FOR: Duration = Duration::from_secs(2);
+/// A lost response counts as evidence of a crash that is detected within this time. A crash shows
+/// within it, because the upstream gets trials, which connect to it again.
+const LOST_RESPONSE_TTL: Duration = Duration::from_secs(2);
 
-/// For how long an end is remembered. Answers lost with it are noticed within a round trip; a
-/// request that waited on a slow link may be a little later.
-const ENDED_FOR: Duration = Duration::from_secs(5);
+/// How long a crash is remembered. Responses lost with it are noticed within a round trip; for a
+/// request that waited on a slow link it may take a little longer.
+const CRASH_TTL: Duration = Duration::from_secs(5);
 
-/// Lost answers remembered for one upstream at most: more than any runs at once.
-const LOST_MOST: usize = 256;
+/// Maximum number of lost responses remembered for one upstream; no upstream runs as many requests
+/// at once.
+const MAX_LOST_RESPONSES: usize = 256;
 
-/// Key of one start of an upstream.
+/// Key of one incarnation of an upstream, from a start of its process to the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Start(u64);
 
 impl Start {
-    /// Returns the key of the start that the upstream `id` made at `born_ms` by its own clock.
+    /// Returns the key of the incarnation of upstream `id` that started at `born_ms` by the
+    /// upstream's own clock.
     pub fn of(id: &str, born_ms: u64) -> Start {
         let mut hasher = SipHasher13::new();
         hasher.write_u64(born_ms);
@@ -34,7 +36,7 @@
         Start(hasher.finish())
     }
 
-    /// Returns the key of the VM `id` that is at `addr`.
+    /// Returns the key of the VM `id` at `addr`.
     pub fn of_vm(addr: SocketAddr, id: &str) -> Start {
         let mut hasher = SipHasher13::new();
         (addr, id).hash(&mut hasher);
@@ -42,13 +44,14 @@
     }
 
     /// Returns the key as a number.
-    pub(crate) fn key(self) -> u64 {
+    pub(crate) fn as_u64(self) -> u64 {
         self.0
     }
 
-    /// Returns how much this start is preferred for a request that is to run apart from others:
-    /// all nodes prefer the same one for the same request, and mostly others for others.
-    pub fn preference(self, content: Content) -> u64 {
+    /// Returns the rendezvous hashing score of this upstream for a request that is to run isolated
+    /// from others. All nodes prefer the same upstream for the same request, and mostly different
+    /// upstreams for different requests.
+    pub fn rendezvous_score(self, content: ContentKey) -> u64 {
         let mut hasher = SipHasher13::new();
         hasher.write_u64(self.0);
         hasher.write_u128(content.as_u128());
@@ -56,60 +59,62 @@
     }
 }
 
-/// A request whose answer was lost with its connection.
+/// A request whose response was lost with its connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Lost {
-    /// What it asked.
-    pub content: Content,
-    /// What was known of it when it was sent.
+pub struct LostRequest {
+    /// The key of the request.
+    pub content: ContentKey,
+    /// Version of the request's finding when the request was sent.
     #[serde(skip)]
-    pub known: Known,
-    /// How long its upstream had it, in milliseconds.
+    pub known: FindingVersion,
+    /// How long the upstream had the request, in milliseconds.
     pub ran_ms: u64,
 }
 
-/// Answers lost of late, and upstreams that ended of late.
+/// Recently lost responses and recently crashed upstreams.
 ///
-/// A lost answer alone is no sign of an end: connections break, and some upstreams lose answers of
-/// requests that they ran. An upstream has ended when its address takes no connection any more.
+/// A lost response alone is no evidence of a crash: connections break, and some upstreams lose
+/// responses of requests that they ran. An upstream counts as crashed when its address no longer
+/// accepts connections.
 #[derive(Clone, Debug, Default)]
-pub struct Ends {
-    lost: HashMap<Start, Vec<(Lost, Instant)>>,
-    ended: HashMap<Start, Instant>,
+pub struct CrashDetector {
+    lost: HashMap<Start, Vec<(LostRequest, Instant)>>,
+    crashed: HashMap<Start, Instant>,
 }
 
-impl Ends {
-    /// Records a lost answer; returns true when its upstream is known to have ended.
-    pub fn lost(&mut self, start: Start, lost: Lost, now: Instant) -> bool {
+impl CrashDetector {
+    /// Records a lost response. Returns true when its upstream is known to have crashed; the
+    /// response is then not kept for a later [`CrashDetector::record_refused_connection`].
+    pub fn record_lost_response(&mut self, start: Start, lost: LostRequest, now: Instant) -> bool {
         self.expire(now);
-        if self.ended.contains_key(&start) {
+        if self.crashed.contains_key(&start) {
             return true;
         }
         let list = self.lost.entry(start).or_default();
-        if list.len() < LOST_MOST {
+        if list.len() < MAX_LOST_RESPONSES {
             list.push((lost, now));
         }
         false
     }
 
-    /// Records that an upstream's address refused a connection. Returns the requests that it lost
-    /// as it ended; none when it had lost none, or its end was known.
-    pub fn refused(&mut self, start: Start, now: Instant) -> Vec<Lost> {
+    /// Records that an upstream's address refused a connection. Returns the requests that were lost
+    /// with the upstream; none if it had lost none or its crash was known.
+    pub fn record_refused_connection(&mut self, start: Start, now: Instant) -> Vec<LostRequest> {
         self.expire(now);
         let lost = self.lost.remove(&start).unwrap_or_default();
         if !lost.is_empty() {
-            self.ended.insert(start, now);
+            self.crashed.insert(start, now);
         }
         lost.into_iter().map(|(lost, _)| lost).collect()
     }
 
     fn expire(&mut self, now: Instant) {
-        let is_younger = |at: Instant, most: Duration| now.saturating_duration_since(at) <= most;
+        let is_fresh = |at: Instant, ttl: Duration| now.saturating_duration_since(at) <= ttl;
         self.lost.retain(|_, list| {
-            list.retain(|(_, at)| is_younger(*at, SIGN_FOR));
+            list.retain(|(_, at)| is_fresh(*at, LOST_RESPONSE_TTL));
             !list.is_empty()
         });
-        self.ended.retain(|_, at| is_younger(*at, ENDED_FOR));
+        self.crashed.retain(|_, at| is_fresh(*at, CRASH_TTL));
     }
 }
 
--- a/crates/quarantine/src/ends/tests.rs
+++ b/crates/quarantine/src/ends/tests.rs
@@ -1,10 +1,14 @@
 use std::time::{Duration, Instant};
 
-use super::{Ends, Lost, Start};
-use crate::{Content, Known};
+use super::{CrashDetector, LostRequest, Start};
+use crate::{ContentKey, FindingVersion};
 
-fn lost(text: &str) -> Lost {
-    Lost { content: Content::of([text.as_bytes()]), known: Known::default(), ran_ms: 100 }
+fn lost(text: &str) -> LostRequest {
+    LostRequest {
+        content: ContentKey::of([text.as_bytes()]),
+        known: FindingVersion::default(),
+        ran_ms: 100,
+    }
 }
 
 fn start() -> Start {
@@ -12,38 +16,36 @@
 }
 
 #[test]
-fn what_an_upstream_lost_as_it_ended_is_told_once() {
-    let (mut ends, now) = (Ends::default(), Instant::now());
-    assert!(!ends.lost(start(), lost("a"), now));
-    assert!(!ends.lost(start(), lost("b"), now));
-    assert_eq!(ends.refused(start(), now), [lost("a"), lost("b")]);
-    assert_eq!(ends.refused(start(), now), []);
+fn requests_lost_with_a_crash_are_returned_once() {
+    let (mut detector, now) = (CrashDetector::default(), Instant::now());
+    assert!(!detector.record_lost_response(start(), lost("a"), now));
+    assert!(!detector.record_lost_response(start(), lost("b"), now));
+    assert_eq!(detector.record_refused_connection(start(), now), [lost("a"), lost("b")]);
+    assert_eq!(detector.record_refused_connection(start(), now), []);
 }
 
-/// Symptom: of two requests that an upstream ended under, one is not told.
-/// Sequence: the first lost answer has the address tried, which refuses; then the second is noticed.
-/// Cause: going only by what was lost before the refusal.
+/// Guards against missing one of two requests that ran at a crashed upstream: after the first lost
+/// response the address is tried and refuses, and only then the second loss is noticed.
 #[test]
-fn what_is_noticed_after_the_end_is_told_too() {
-    let (mut ends, now) = (Ends::default(), Instant::now());
-    ends.lost(start(), lost("a"), now);
-    ends.refused(start(), now);
-    assert!(ends.lost(start(), lost("b"), now));
+fn a_response_lost_after_the_crash_was_detected_counts() {
+    let (mut detector, now) = (CrashDetector::default(), Instant::now());
+    detector.record_lost_response(start(), lost("a"), now);
+    detector.record_refused_connection(start(), now);
+    assert!(detector.record_lost_response(start(), lost("b"), now));
 }
 
-/// Symptom: a request is blamed for an end that it had nothing to do with.
-/// Sequence: its answer is lost by an upstream that goes on; minutes later the upstream ends.
-/// Cause: lost answers that are never forgotten.
+/// Guards against blaming a request for an unrelated crash: its response was lost by an upstream
+/// that kept running and crashed minutes later.
 #[test]
-fn an_answer_lost_long_before_the_end_is_no_sign_of_it() {
-    let (mut ends, now) = (Ends::default(), Instant::now());
-    ends.lost(start(), lost("a"), now);
-    assert_eq!(ends.refused(start(), now + Duration::from_secs(3)), []);
+fn a_response_lost_long_before_a_crash_does_not_count() {
+    let (mut detector, now) = (CrashDetector::default(), Instant::now());
+    detector.record_lost_response(start(), lost("a"), now);
+    assert_eq!(detector.record_refused_connection(start(), now + Duration::from_secs(3)), []);
 }
 
 #[test]
-fn another_start_of_the_upstream_is_another() {
-    let (mut ends, now) = (Ends::default(), Instant::now());
-    ends.lost(start(), lost("a"), now);
-    assert_eq!(ends.refused(Start::of("u1", 8), now), []);
+fn incarnations_of_an_upstream_are_distinct() {
+    let (mut detector, now) = (CrashDetector::default(), Instant::now());
+    detector.record_lost_response(start(), lost("a"), now);
+    assert_eq!(detector.record_refused_connection(Start::of("u1", 8), now), []);
 }
--- a/crates/quarantine/src/finding.rs
+++ b/crates/quarantine/src/finding.rs
@@ -1,98 +1,100 @@
-//! What is known of one request, in a form that all nodes come to agree on.
+//! Evidence against one request, mergeable so that all nodes converge.
 
 use std::hash::Hasher;
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-use crate::{Content, Start, UnixMs};
+use crate::{ContentKey, Start, UnixMs};
 
-/// Crashes in sequence from which on a request is held back, and crashes in all.
+/// A request is held from this many consecutive crashes and this many crashed upstreams on.
 ///
-/// Upstreams of a zone that ends at once take several copies of a popular request with them: that is
-/// one crash in sequence, however many upstreams there were. A second one, of a copy that was sent
-/// when the first was known, is no coincidence of that kind; three upstreams are as many as the
-/// users allow before the request has to be kept from the rest. A third crash in sequence tells as much
-/// where there are fewer upstreams, which start again under the same key.
-const WAVES_HELD: u8 = 2;
-const CRASHED_HELD: usize = 3;
-const WAVES_HELD_ALONE: u8 = 3;
-
-/// Crashed upstreams that are told apart: more than one request crashes until all nodes hold it back.
-/// Where some are left out, a harmless request that ran there seems to have crashed them alone.
-pub(crate) const CRASHED_KEPT: usize = 8;
-
-/// What is known of one request.
+/// When all upstreams of a zone end at once, several of them run copies of a popular request: these
+/// count as one in a sequence of crashes, however many upstreams ended. A second crash in the
+/// sequence, of a copy sent when the first crash was known, is no such coincidence. Three upstreams
+/// are the most that the users accept to lose before the request is kept from the rest. With fewer
+/// upstreams, which restart under the same key, a third consecutive crash is evidence enough.
+const MIN_HOLD_WAVES: u8 = 2;
+const MIN_HOLD_CRASHED: usize = 3;
+const MIN_HOLD_WAVES_ALONE: u8 = 3;
+
+/// Maximum number of crashed upstreams listed in a finding, more than one request crashes before
+/// all nodes hold it. If some were left out, a harmless request that ran there too would seem to
+/// have crashed them alone.
+pub(crate) const MAX_CRASHED: usize = 8;
+
+/// What is known of one request that crashed upstreams.
 ///
-/// Findings of nodes are merged in any order, each any number of times: [`Finding::merge`] takes the
-/// least upper bound. Of two epochs the later counts alone.
+/// Nodes merge findings in any order and any number of times: [`Finding::merge`] takes the least
+/// upper bound. Of findings with different epochs only the later counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// What it asks.
-    pub content: Content,
-    /// Raised whenever it is cleared: what was found in an earlier epoch counts no longer.
+    /// The key of the request.
+    pub content: ContentKey,
+    /// Incremented each time the request is cleared; findings of earlier epochs no longer count.
     pub epoch: u32,
-    /// Crashes in sequence: each under a copy that was sent when the one before was known.
+    /// Number of consecutive crashes: each of a copy sent when the crash before was known.
     pub waves: u8,
-    /// Starts of upstreams that crashed while they ran it, in order, [`CRASHED_KEPT`] at most.
+    /// Upstreams that crashed while they ran the request, sorted, at most [`MAX_CRASHED`].
     pub crashed: Vec<Start>,
-    /// Until when the finding counts; a request that is held back may be tried again then.
+    /// When the finding expires. A held request may be tried again then.
     pub until_unix_ms: UnixMs,
 }
 
 impl Finding {
-    /// Returns the finding of nothing, in the first epoch.
-    pub(crate) fn none(content: Content) -> Finding {
+    /// Returns a finding without crashes, in the first epoch.
+    pub(crate) fn empty(content: ContentKey) -> Finding {
         Finding { content, epoch: 0, waves: 0, crashed: Vec::new(), until_unix_ms: 0 }
     }
 
-    /// Returns true when the request is to be kept from upstreams.
+    /// Returns true when the crashes are enough to keep the request from upstreams.
     pub fn is_held(&self) -> bool {
-        let on_several = self.waves >= WAVES_HELD && self.crashed.len() >= CRASHED_HELD;
-        on_several || self.waves >= WAVES_HELD_ALONE
+        let on_several = self.waves >= MIN_HOLD_WAVES && self.crashed.len() >= MIN_HOLD_CRASHED;
+        on_several || self.waves >= MIN_HOLD_WAVES_ALONE
     }
 
-    /// Returns true when this request, which is held back, crashed each upstream that crashed under
-    /// the `other`, and weighs more.
+    /// Returns true when this request is held, crashed every upstream that crashed under `other`,
+    /// and has the stronger evidence against it.
     ///
-    /// Two nodes may send a harmless request and the one that crashes upstreams to the same
-    /// upstream, by chance and more than once. Nothing then speaks against the harmless one alone.
-    /// Of two that share all their crashes one weighs more by its key: the other runs once more, and
-    /// its answer, or a crash that makes it the heavier one, tells which of them it is.
+    /// Two nodes may send a harmless request and a crashing one to the same upstream, by chance and
+    /// more than once. There is then no evidence against the harmless request alone. If two
+    /// requests share all their crashes, the order of their keys decides which of them has the
+    /// stronger evidence. The other one runs once more: a response, or a crash that makes its
+    /// evidence the stronger, tells which of them is the cause.
     pub(crate) fn explains(&self, other: &Finding) -> bool {
-        let weight = |finding: &Finding| (finding.waves, finding.crashed.len(), finding.content);
+        let evidence = |finding: &Finding| (finding.waves, finding.crashed.len(), finding.content);
         self.is_held()
-            && weight(self) > weight(other)
+            && evidence(self) > evidence(other)
             && other.crashed.iter().all(|start| self.crashed.contains(start))
     }
 
-    /// Returns the finding of the same request once it is cleared.
+    /// Returns the finding of the same request after it was cleared.
     pub fn cleared(&self, until_unix_ms: UnixMs) -> Finding {
         let epoch = self.epoch.saturating_add(1);
-        Finding { epoch, until_unix_ms, ..Finding::none(self.content) }
+        Finding { epoch, until_unix_ms, ..Finding::empty(self.content) }
     }
 
-    /// Returns true when it was cleared and nothing was found since.
+    /// Returns true when the request was cleared and has not crashed an upstream since.
     pub fn is_clear(&self) -> bool {
         self.waves == 0
     }
 
-    /// Returns true when it can have been written by [`crate::Ledger`].
-    pub fn is_sound(&self) -> bool {
-        let in_order = self.crashed.windows(2).all(|pair| pair[0] < pair[1]);
-        let as_many = self.crashed.is_empty() == (self.waves == 0);
-        in_order && as_many && self.crashed.len() <= CRASHED_KEPT
+    /// Returns true when [`crate::Quarantine`] can have produced this finding.
+    pub fn is_valid(&self) -> bool {
+        let is_sorted = self.crashed.windows(2).all(|pair| pair[0] < pair[1]);
+        let is_consistent = self.crashed.is_empty() == (self.waves == 0);
+        is_sorted && is_consistent && self.crashed.len() <= MAX_CRASHED
     }
 
-    /// Adds an upstream that crashed.
-    pub(crate) fn add(&mut self, start: Start) {
+    /// Adds a crashed upstream.
+    pub(crate) fn add_crashed(&mut self, start: Start) {
         if let Err(index) = self.crashed.binary_search(&start) {
             self.crashed.insert(index, start);
-            self.crashed.truncate(CRASHED_KEPT);
+            self.crashed.truncate(MAX_CRASHED);
         }
     }
 
-    /// Takes what another node knows; returns true when that is news.
+    /// Merges another node's finding of the same request; returns true when that changed this one.
     pub(crate) fn merge(&mut self, other: &Finding) -> bool {
         let before = (self.epoch, self.waves, self.crashed.clone(), self.until_unix_ms);
         match self.epoch.cmp(&other.epoch) {
@@ -100,20 +102,20 @@
             std::cmp::Ordering::Less => *self = other.clone(),
             std::cmp::Ordering::Equal => {
                 self.waves = self.waves.max(other.waves);
-                other.crashed.iter().for_each(|start| self.add(*start));
+                other.crashed.iter().for_each(|start| self.add_crashed(*start));
                 self.until_unix_ms = self.until_unix_ms.max(other.until_unix_ms);
             }
         }
         before != (self.epoch, self.waves, self.crashed.clone(), self.until_unix_ms)
     }
 
-    /// Returns a number by which two nodes that know the same can tell that they do.
+    /// Returns a digest that is equal on nodes that know the same crashes of the request.
     pub(crate) fn digest(&self) -> u64 {
         let mut hasher = SipHasher13::new();
         hasher.write_u128(self.content.as_u128());
         hasher.write_u32(self.epoch);
         hasher.write_u8(self.waves);
-        self.crashed.iter().for_each(|start| hasher.write_u64(start.key()));
+        self.crashed.iter().for_each(|start| hasher.write_u64(start.as_u64()));
         hasher.finish()
     }
 }
--- a/crates/quarantine/src/finding/tests.rs
+++ b/crates/quarantine/src/finding/tests.rs
@@ -1,10 +1,10 @@
 use proptest::prelude::*;
 
-use super::{Finding, CRASHED_KEPT};
-use crate::{Content, Start};
+use super::{Finding, MAX_CRASHED};
+use crate::{ContentKey, Start};
 
-fn content() -> Content {
-    Content::of([b"GET /a".as_slice()])
+fn content() -> ContentKey {
+    ContentKey::of([b"GET /a".as_slice()])
 }
 
 prop_compose! {
@@ -15,10 +15,10 @@
         until_unix_ms in 0..5u64,
         clear in prop::bool::weighted(0.2),
     ) -> Finding {
-        let mut finding = Finding { epoch, until_unix_ms, ..Finding::none(content()) };
+        let mut finding = Finding { epoch, until_unix_ms, ..Finding::empty(content()) };
         if !clear {
             finding.waves = waves;
-            crashed.iter().for_each(|n| finding.add(Start::of("u", *n)));
+            crashed.iter().for_each(|n| finding.add_crashed(Start::of("u", *n)));
         }
         finding
     }
@@ -31,45 +31,45 @@
 }
 
 proptest! {
-    /// Symptom: nodes never agree whether a request is held back.
-    /// Sequence: findings arrive in another order at each node, some twice.
-    /// Cause: a merge whose outcome depends on order or on repeats.
+    /// Guards against nodes that never agree whether a request is held: findings arrive in a
+    /// different order at each node, some twice, so the result must not depend on order or
+    /// repetition.
     #[test]
-    fn findings_are_merged_in_any_order_and_any_number_of_times(
+    fn merge_is_commutative_associative_and_idempotent(
         a in finding(), b in finding(), c in finding(),
     ) {
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a.clone());
-        prop_assert!(merged(&a, &b).is_sound());
+        prop_assert!(merged(&a, &b).is_valid());
     }
 
     #[test]
-    fn what_is_news_changes_what_is_known(a in finding(), b in finding()) {
-        let mut known = a.clone();
-        prop_assert_eq!(known.merge(&b), known != a);
+    fn merge_reports_whether_it_changed_the_finding(a in finding(), b in finding()) {
+        let mut merged = a.clone();
+        prop_assert_eq!(merged.merge(&b), merged != a);
     }
 
     #[test]
-    fn a_finding_is_read_back_as_it_was(a in finding()) {
+    fn findings_round_trip(a in finding()) {
         let bytes = postcard::to_stdvec(&a).expect("encodes");
         prop_assert_eq!(postcard::from_bytes::<Finding>(&bytes).expect("decodes"), a);
     }
 }
 
 #[test]
-fn what_no_node_can_have_found_is_unsound() {
-    let sound = merged(&Finding { waves: 1, ..Finding::none(content()) }, &{
-        let mut finding = Finding::none(content());
-        finding.add(Start::of("u", 1));
+fn impossible_findings_are_invalid() {
+    let valid = merged(&Finding { waves: 1, ..Finding::empty(content()) }, &{
+        let mut finding = Finding::empty(content());
+        finding.add_crashed(Start::of("u", 1));
         finding
     });
-    assert!(sound.is_sound());
-    let unsound = [
-        Finding { waves: 0, ..sound.clone() },
-        Finding { crashed: Vec::new(), ..sound.clone() },
-        Finding { crashed: vec![sound.crashed[0]; 2], ..sound.clone() },
-        Finding { crashed: vec![sound.crashed[0]; CRASHED_KEPT + 1], ..sound },
+    assert!(valid.is_valid());
+    let invalid = [
+        Finding { waves: 0, ..valid.clone() },
+        Finding { crashed: Vec::new(), ..valid.clone() },
+        Finding { crashed: vec![valid.crashed[0]; 2], ..valid.clone() },
+        Finding { crashed: vec![valid.crashed[0]; MAX_CRASHED + 1], ..valid },
     ];
-    assert!(unsound.iter().all(|finding| !finding.is_sound()));
+    assert!(invalid.iter().all(|finding| !finding.is_valid()));
 }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What a node knows of requests that crashed upstreams, and what it does with them.
+//! The quarantine of one node: requests that crashed upstreams and how each of them is handled.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,460 +6,484 @@
 use serde::Serialize;
 
 use crate::finding::Finding;
-use crate::{Content, Places, Start, UnixMs};
-
-/// For how long crashes count against a request that is not held back, and a clearance is
-/// remembered. Some callers come back after half an hour; an innocent request is cleared by its next
-/// answer.
-pub const SUSPECT_FOR: Duration = Duration::from_secs(3_600);
-
-/// For how long a request is held back, the first time and at most: twice as long after each later
-/// trial that crashed another upstream. What is mended meanwhile, an operator lifts.
-const HELD_FOR: Duration = Duration::from_secs(3_600);
-const HELD_MOST: Duration = Duration::from_secs(24 * 3_600);
-
-/// When a request is tried for the first time after it was held back. One that was under way at
-/// three upstreams by chance is served again then; another one costs an upstream more.
-const FIRST_TRIAL_AFTER: Duration = Duration::from_secs(120);
-
-/// Crashes in sequence up to which it is tried so soon: each beyond them is one of a later trial.
-const WAVES_TRIED_SOON: u8 = 3;
-
-/// For how long a request that may be tried again is remembered, if nobody makes it.
-const TRIED_WITHIN: Duration = Duration::from_secs(24 * 3_600);
-
-/// When to come back to a node at which another copy of the request is under way.
-const BUSY_FOR: Duration = Duration::from_millis(250);
-
-/// When to come back to a node that leaves the trial of a request to another.
-const LEFT_TO_ANOTHER: Duration = Duration::from_secs(60);
-
-/// A first crash is told to other nodes after this long, unless an answer clears the request before.
-/// Those that ran beside it are sent again at once and mostly are cleared within that: when a zone of
-/// sixty upstreams ends, some three hundred requests would be told to all nodes, and cleared again.
-const KEPT_TO_ITSELF: Duration = Duration::from_millis(400);
-
-/// Beyond that, each request is kept for a time of its own up to this. Where many upstreams end at
-/// once, nodes hear of the first few requests before they would tell of their own.
-const KEPT_LONGER: Duration = Duration::from_millis(300);
-
-/// First crashes, seen or heard of within this time, from which on a node tells no more of them: many
-/// upstreams end by themselves, and each node has lost other requests with them. Told one by one, 1,200
-/// requests of 312 nodes kept these busy for minutes. A request that crashes upstreams is told all the
-/// same once it has crashed a second one.
-const FIRSTS_MOST: usize = 8;
-const FIRSTS_WITHIN: Duration = Duration::from_secs(5);
-
-/// A first crash that could not be told within this time is kept to the node.
-const TOLD_WITHIN: Duration = Duration::from_secs(5);
-
-/// Answers that are remembered, and for how long. A crash says nothing of a request that was answered
-/// a moment before or after: where half of the upstreams end, copies of popular requests are lost
-/// one after the other, and without this seven of a hundred were refused for a moment. Requests that
-/// crash upstreams are never answered.
-const ANSWERS_MOST: usize = 512;
-const ANSWERED_FOR: Duration = Duration::from_secs(2);
-
-/// Findings told at once to a node that knows something else: three packets.
-const TOLD_MOST: usize = 64;
-
-/// Requests known at most: 60 kB. Somebody who crashes upstreams by ever new requests pushes out
-/// those that did so once, not those that are held back.
-const KNOWN_MOST: usize = 512;
-
-/// What is to be done with a request.
+use crate::{ContentKey, Reservations, Start, UnixMs};
+
+/// How long crashes count against a request that is not held, and how long a clearance is
+/// remembered. Some callers retry after half an hour; a harmless request is cleared by its next
+/// response.
+pub const SUSPICION_TTL: Duration = Duration::from_secs(3_600);
+
+/// How long a request is held: the first time, and at most. The time doubles with each later trial
+/// that crashed another upstream. An operator lifts the hold of a request that was fixed meanwhile.
+const MIN_HOLD_TTL: Duration = Duration::from_secs(3_600);
+const MAX_HOLD_TTL: Duration = Duration::from_secs(24 * 3_600);
+
+/// Delay from the hold of a request to its first trial. A request that ran at three crashing
+/// upstreams by coincidence is served again after this time; any other costs one more upstream.
+const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(120);
+
+/// Up to this many consecutive crashes the trial comes after [`FIRST_TRIAL_DELAY`]. Every crash
+/// beyond them was caused by a later trial.
+const MAX_WAVES_BEFORE_TRIAL: u8 = 3;
+
+/// How long a request whose hold is over is remembered if no caller sends it.
+const EXPIRED_HOLD_TTL: Duration = Duration::from_secs(24 * 3_600);
+
+/// Retry delay for a caller whose request has another copy under way at this node.
+const CONCURRENT_COPY_RETRY_DELAY: Duration = Duration::from_millis(250);
+
+/// Retry delay for a caller of a node that leaves the trial of the request to another node.
+const OTHER_NODE_TRIAL_RETRY_DELAY: Duration = Duration::from_secs(60);
+
+/// A first crash is announced to other nodes after this delay, unless a response clears the request
+/// before. Requests that ran next to the crashing one are resent at once and most are cleared
+/// within the delay. Without it, the end of a zone of sixty upstreams has some three hundred
+/// requests announced to all nodes and then cleared.
+const FIRST_CRASH_ANNOUNCE_DELAY: Duration = Duration::from_millis(400);
+
+/// Upper bound of the additional delay, which differs per request. When many upstreams end at once,
+/// nodes hear of the first few requests before they would announce their own.
+const MAX_ANNOUNCE_JITTER: Duration = Duration::from_millis(300);
+
+/// When a node has seen or heard of more than this many first crashes within the window, it stops
+/// announcing first crashes: many upstreams are ending for a reason of their own, and every node
+/// has lost other requests with them. Announcing 1,200 requests of 312 nodes one by one kept these
+/// busy for minutes. A request that crashes upstreams is still announced after its second crash.
+const MAX_FIRST_CRASHES: usize = 8;
+const FIRST_CRASH_WINDOW: Duration = Duration::from_secs(5);
+
+/// A first crash that could not be announced within this time after its delay is not announced.
+const FIRST_CRASH_ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Number of responses that are remembered, and for how long. A crash is no evidence against a
+/// request that got a response a moment before or after. When half of the upstreams end, copies of
+/// popular requests are lost one after the other, and without this rule seven of a hundred requests
+/// were refused for a moment. Requests that crash upstreams never get a response.
+const MAX_RECENT_RESPONSES: usize = 512;
+const RECENT_RESPONSE_TTL: Duration = Duration::from_secs(2);
+
+/// Maximum number of findings sent at once to a node whose digest differs; they fit in three
+/// packets.
+const MAX_SYNC_FINDINGS: usize = 64;
+
+/// Maximum number of requests on record, about 60 kB. When a client crashes upstreams with ever new
+/// requests, those with a single crash are evicted, held ones are not.
+const MAX_ENTRIES: usize = 512;
+
+/// How a request is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is sent like any other.
-    Free,
-    /// An upstream crashed while it ran there. It is sent to one at which no other such request of
-    /// this node runs: if that crashes too, it is clear which of them does it.
-    Apart,
-    /// It is not sent; its caller may come back after this long.
-    Refused(Duration),
+pub enum Decision {
+    /// The request is sent like any other.
+    Allow,
+    /// An upstream crashed while it ran the request. The request is sent to an upstream at which no
+    /// other suspected request of this node runs, so that a further crash identifies the culprit.
+    Isolate,
+    /// The request is not sent; its caller may retry after the given time.
+    Reject(Duration),
 }
 
-/// What was known of a request when it was sent.
+/// Version of a request's finding at the time when the request was sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Known {
+pub struct FindingVersion {
     epoch: u32,
     waves: u8,
 }
 
-/// A finding to be told to other nodes.
+/// A finding to be announced to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
-    /// What was found.
+pub struct NewFinding {
+    /// The finding.
     pub finding: Finding,
-    /// Whether all nodes must come to know it: the request has crashed several upstreams, or had. Of
-    /// others it is enough that most nodes hear.
-    pub is_weighty: bool,
+    /// Whether the finding must reach all nodes, because the request has crashed several upstreams
+    /// or had done so before it was cleared. For other findings it is enough to reach most nodes.
+    pub must_reach_all: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct Entry {
     finding: Finding,
-    /// Whether other nodes were told of it, or told of it.
+    /// Whether the finding was announced to other nodes, or received from one.
     is_shared: bool,
-    /// When it was found, for those that are not shared yet.
+    /// When the first crash was found; used while the finding is not shared.
     found_unix_ms: UnixMs,
 }
 
-/// What a node knows of requests that crashed upstreams.
+/// Requests that crashed upstreams, as far as one node knows.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
-    known: HashMap<Content, Held>,
-    /// Copies of such requests under way, by request and by upstream.
-    under_way: HashMap<Content, u32>,
-    running_at: HashMap<Start, u32>,
-    /// Requests answered of late, while anything was known of any.
-    answered: VecDeque<(Content, UnixMs)>,
-    /// Findings to be told to other nodes.
-    news: Vec<News>,
-    /// When first crashes of requests were seen or heard of.
-    firsts: VecDeque<UnixMs>,
+pub struct Quarantine {
+    table: HashMap<ContentKey, Entry>,
+    /// Copies of suspected requests under way, by request and by upstream.
+    attempts_by_content: HashMap<ContentKey, u32>,
+    attempts_by_start: HashMap<Start, u32>,
+    /// Requests that got a response recently.
+    recent_responses: VecDeque<(ContentKey, UnixMs)>,
+    /// Findings to be announced to other nodes.
+    new_findings: Vec<NewFinding>,
+    /// When this node saw or heard of first crashes of requests.
+    first_crashes: VecDeque<UnixMs>,
 }
 
-impl Ledger {
-    /// Returns true while nothing is known of any request: none needs to be looked up then.
+impl Quarantine {
+    /// Returns true when no request is on record, so that none needs to be looked up.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.table.is_empty()
     }
 
-    /// Returns what is to be done with a request. `may_try` tells whether this node is the one of
-    /// the fleet that tries a request again whose time is over; it is asked only for such a one.
-    pub fn verdict(
+    /// Returns how a request is to be handled.
+    ///
+    /// `may_try` tells whether this node is the one of the fleet that tries a held request again.
+    /// It is called only for a request that is due for a trial.
+    pub fn decide(
         &self,
-        content: Content,
+        content: ContentKey,
         may_try: impl FnOnce() -> bool,
         now: UnixMs,
-    ) -> Verdict {
-        let Some(Held { finding, .. }) = self.known.get(&content) else { return Verdict::Free };
-        let is_under_way = self.under_way.contains_key(&content);
+    ) -> Decision {
+        let Some(Entry { finding, .. }) = self.table.get(&content) else { return Decision::Allow };
+        let is_under_way = self.attempts_by_content.contains_key(&content);
         let left = Duration::from_millis(finding.until_unix_ms.saturating_sub(now));
-        let until_trial = match finding.waves <= WAVES_TRIED_SOON {
-            true => left.saturating_sub(HELD_FOR - FIRST_TRIAL_AFTER),
+        let until_trial = match finding.waves <= MAX_WAVES_BEFORE_TRIAL {
+            true => left.saturating_sub(MIN_HOLD_TTL - FIRST_TRIAL_DELAY),
             false => left,
         };
-        match self.holds(finding) {
-            _ if finding.is_clear() => Verdict::Free,
-            true if !until_trial.is_zero() => Verdict::Refused(until_trial),
-            true if !may_try() => Verdict::Refused(LEFT_TO_ANOTHER),
-            false if left.is_zero() => Verdict::Free,
-            _ if finding.waves > 1 && is_under_way => Verdict::Refused(BUSY_FOR),
-            _ => Verdict::Apart,
+        match self.is_hold_in_effect(finding) {
+            _ if finding.is_clear() => Decision::Allow,
+            true if !until_trial.is_zero() => Decision::Reject(until_trial),
+            true if !may_try() => Decision::Reject(OTHER_NODE_TRIAL_RETRY_DELAY),
+            false if left.is_zero() => Decision::Allow,
+            _ if finding.waves > 1 && is_under_way => Decision::Reject(CONCURRENT_COPY_RETRY_DELAY),
+            _ => Decision::Isolate,
         }
     }
 
-    /// Returns true for a request that is held back.
-    pub fn is_held(&self, content: Content) -> bool {
-        self.known.get(&content).is_some_and(|held| self.holds(&held.finding))
+    /// Returns true for a request that is held.
+    pub fn is_held(&self, content: ContentKey) -> bool {
+        self.table.get(&content).is_some_and(|entry| self.is_hold_in_effect(&entry.finding))
     }
 
-    /// Returns true when what was found holds the request back.
-    fn holds(&self, finding: &Finding) -> bool {
-        let is_heavier = |other: &Finding| other.explains(finding);
-        finding.is_held() && !self.all().any(is_heavier)
+    /// Returns true when `finding` holds its request and no other finding explains its crashes.
+    fn is_hold_in_effect(&self, finding: &Finding) -> bool {
+        let is_explanation = |other: &Finding| other.explains(finding);
+        finding.is_held() && !self.all().any(is_explanation)
     }
 
-    /// Returns true for a request that has crashed upstreams one after the other: sent once more by
-    /// the node itself, it would likely crash another.
-    pub fn is_likely(&self, content: Content) -> bool {
-        self.known.get(&content).is_some_and(|held| held.finding.waves > 1)
+    /// Returns true for a request with several consecutive crashes, which would likely crash
+    /// another upstream if the node itself sent it again.
+    pub fn has_repeated_crashes(&self, content: ContentKey) -> bool {
+        self.table.get(&content).is_some_and(|entry| entry.finding.waves > 1)
     }
 
-    /// Returns what is known of a request that is being sent.
-    pub fn known(&self, content: Content) -> Known {
-        let known = self.known.get(&content).map(|held| &held.finding);
-        known.map_or_else(Known::default, |f| Known { epoch: f.epoch, waves: f.waves })
+    /// Returns the version of a request's finding, to be kept with each send of the request.
+    pub fn version(&self, content: ContentKey) -> FindingVersion {
+        let finding = self.table.get(&content).map(|entry| &entry.finding);
+        finding.map_or_else(FindingVersion::default, |f| FindingVersion {
+            epoch: f.epoch,
+            waves: f.waves,
+        })
     }
 
-    /// Counts a copy of a suspected request as under way.
-    pub fn begin(&mut self, content: Content, start: Start) {
-        *self.under_way.entry(content).or_default() += 1;
-        *self.running_at.entry(start).or_default() += 1;
+    /// Counts a copy of a suspected request as under way at an upstream.
+    pub fn begin_attempt(&mut self, content: ContentKey, start: Start) {
+        *self.attempts_by_content.entry(content).or_default() += 1;
+        *self.attempts_by_start.entry(start).or_default() += 1;
     }
 
-    /// Counts it as ended.
-    pub fn end(&mut self, content: Content, start: Start) {
-        decrement(&mut self.under_way, &content);
-        decrement(&mut self.running_at, &start);
+    /// Counts a copy reported to [`Quarantine::begin_attempt`] as ended.
+    pub fn end_attempt(&mut self, content: ContentKey, start: Start) {
+        decrement(&mut self.attempts_by_content, &content);
+        decrement(&mut self.attempts_by_start, &start);
     }
 
     /// Returns true when no suspected request of this node runs at an upstream.
-    pub fn is_apart(&self, start: Start) -> bool {
-        !self.running_at.contains_key(&start)
+    pub fn has_no_suspects(&self, start: Start) -> bool {
+        !self.attempts_by_start.contains_key(&start)
     }
 
-    /// Returns which of `starts` are set aside for requests that crashed upstreams one after the
-    /// other: any other suspected request that ran there would be lost with it again.
-    pub fn places(&self, starts: &[Start]) -> Places {
-        Places::deal(self.all().filter(|finding| finding.waves > 1), starts)
+    /// Returns which of `starts` are reserved for requests with several consecutive crashes: any
+    /// other suspected request that ran there would be lost with them again.
+    pub fn reservations(&self, starts: &[Start]) -> Reservations {
+        Reservations::assign(self.all().filter(|finding| finding.waves > 1), starts)
     }
 
-    /// Returns which of `candidates`, places in `starts`, a suspected request goes to: the upstream
-    /// that is set aside for it on all nodes, or else one at which no other suspected request of this
-    /// node runs and which is not set aside for another. It crashes alone then, if it does, and is
-    /// cleared by its answer if another one did.
-    pub fn choose_apart(
+    /// Returns which of `candidates`, indices into `starts`, a suspected request is sent to.
+    ///
+    /// This is the upstream reserved for the request on all nodes, or else one that is not reserved
+    /// for another request and at which no other suspected request of this node runs. If that
+    /// upstream crashes, this request is the cause; if another request was the cause before, a
+    /// response clears this one.
+    pub fn choose_isolated(
         &self,
-        content: Content,
+        content: ContentKey,
         starts: &[Start],
         candidates: impl Iterator<Item = usize>,
     ) -> Option<usize> {
-        let places = self.places(starts);
+        let reservations = self.reservations(starts);
         let is_free = |start: Start| {
-            let is_apart = self.is_apart(start) && !places.is_for_another(start, content);
-            // Copies at several nodes stay together: one that gave way here to another request of
-            // this node would meet a third one elsewhere.
-            is_apart || places.is_for(start, content)
+            let is_isolated =
+                self.has_no_suspects(start) && !reservations.is_reserved_for_other(start, content);
+            // Copies at several nodes stay at the reserved upstream: one that avoided another
+            // request of this node there would run next to a third request elsewhere.
+            is_isolated || reservations.is_reserved_for(start, content)
         };
         candidates
             .filter_map(|index| Some((index, *starts.get(index)?)))
             .filter(|(_, start)| is_free(*start))
-            .max_by_key(|(_, start)| (places.is_for(*start, content), start.preference(content)))
+            .max_by_key(|(_, start)| {
+                (reservations.is_reserved_for(*start, content), start.rendezvous_score(content))
+            })
             .map(|(index, _)| index)
     }
 
-    /// Takes that an upstream crashed while it ran a request of which `known` was known when it was
-    /// sent there. Returns the finding if the request is held back from now on.
-    pub fn crashed(
+    /// Records that an upstream crashed while it ran a request. `version` is what
+    /// [`Quarantine::version`] returned when the request was sent there. Returns the finding if
+    /// this crash puts the request on hold.
+    pub fn record_crash(
         &mut self,
-        content: Content,
-        known: Known,
+        content: ContentKey,
+        version: FindingVersion,
         start: Start,
         now: UnixMs,
     ) -> Option<Finding> {
-        if self.was_answered(content, now) {
+        if self.has_recent_response(content, now) {
             return None;
         }
         let was_held = self.is_held(content);
-        if !self.known.contains_key(&content) {
-            self.note_first(now);
-            // In the place of another that has crashed one upstream, if there is no room.
+        if !self.table.contains_key(&content) {
+            self.record_first_crash(now);
+            // A full table evicts only a request with a single crash here.
             if !self.make_room(now, 2) {
                 return None;
             }
         }
-        let held = self.known.entry(content).or_insert_with(|| Held {
-            finding: Finding { epoch: known.epoch, ..Finding::none(content) },
+        let entry = self.table.entry(content).or_insert_with(|| Entry {
+            finding: Finding { epoch: version.epoch, ..Finding::empty(content) },
             is_shared: false,
             found_unix_ms: now,
         });
-        let finding = &mut held.finding;
-        if finding.epoch != known.epoch {
-            // It was cleared since it was sent there: something else crashed that upstream.
+        let finding = &mut entry.finding;
+        if finding.epoch != version.epoch {
+            // The request was cleared after this copy was sent: something else crashed the
+            // upstream.
             return None;
         }
-        finding.waves = finding.waves.max(known.waves.saturating_add(1));
-        finding.add(start);
-        let counts_for = match finding.is_held() {
-            true => held_for(finding.waves),
-            false => SUSPECT_FOR,
+        finding.waves = finding.waves.max(version.waves.saturating_add(1));
+        finding.add_crashed(start);
+        let ttl = match finding.is_held() {
+            true => hold_ttl(finding.waves),
+            false => SUSPICION_TTL,
         };
-        finding.until_unix_ms = finding.until_unix_ms.max(now + as_ms(counts_for));
-        if held.is_shared || finding.waves > 1 {
-            held.is_shared = true;
-            let is_weighty = finding.waves > 1;
-            self.news.push(News { finding: finding.clone(), is_weighty });
+        finding.until_unix_ms = finding.until_unix_ms.max(now + as_ms(ttl));
+        if entry.is_shared || finding.waves > 1 {
+            entry.is_shared = true;
+            let must_reach_all = finding.waves > 1;
+            self.new_findings.push(NewFinding { finding: finding.clone(), must_reach_all });
         }
-        let found = held.finding.clone();
-        (!was_held && self.holds(&found)).then_some(found)
+        let found = entry.finding.clone();
+        (!was_held && self.is_hold_in_effect(&found)).then_some(found)
     }
 
-    /// Takes that an upstream ran a request to its end. Whatever crashed upstreams while they ran
-    /// it, it was not this one.
-    pub fn answered(&mut self, content: Content, now: UnixMs) -> bool {
-        if self.answered.len() >= ANSWERS_MOST {
-            self.answered.pop_front();
+    /// Records that an upstream ran a request to its end, which clears the request: something else
+    /// crashed the upstreams that ran it. Returns true when that changed what is known of it.
+    pub fn record_response(&mut self, content: ContentKey, now: UnixMs) -> bool {
+        if self.recent_responses.len() >= MAX_RECENT_RESPONSES {
+            self.recent_responses.pop_front();
         }
-        self.answered.push_back((content, now));
-        match self.known.get(&content) {
-            Some(held) if held.finding.is_clear() => false,
-            Some(held) if !held.is_shared => self.known.remove(&content).is_some(),
+        self.recent_responses.push_back((content, now));
+        match self.table.get(&content) {
+            Some(entry) if entry.finding.is_clear() => false,
+            Some(entry) if !entry.is_shared => self.table.remove(&content).is_some(),
             Some(_) => self.clear(content, now),
             None => false,
         }
     }
 
-    /// Clears a request by an operator's word; false when nothing was known of it.
-    pub fn clear(&mut self, content: Content, now: UnixMs) -> bool {
-        let Some(held) = self.known.get_mut(&content) else { return false };
-        let is_weighty = held.finding.waves > 1;
-        held.finding = held.finding.cleared(now + as_ms(SUSPECT_FOR));
-        held.is_shared = true;
-        let finding = held.finding.clone();
-        self.tell(finding, is_weighty, now);
+    /// Clears a request, for instance on an operator's command. Returns false when nothing was
+    /// known of it.
+    pub fn clear(&mut self, content: ContentKey, now: UnixMs) -> bool {
+        let Some(entry) = self.table.get_mut(&content) else { return false };
+        let must_reach_all = entry.finding.waves > 1;
+        entry.finding = entry.finding.cleared(now + as_ms(SUSPICION_TTL));
+        entry.is_shared = true;
+        let finding = entry.finding.clone();
+        self.announce(finding, must_reach_all, now);
         true
     }
 
-    /// Takes another node's finding; returns it as known now if that is news, which is passed on.
-    pub fn hear(&mut self, heard: &Finding, now: UnixMs) -> Option<Finding> {
-        let most_unix_ms = now + as_ms(HELD_MOST);
-        let until_unix_ms = heard.until_unix_ms.min(most_unix_ms);
-        let heard = Finding { until_unix_ms, ..heard.clone() };
-        if !heard.is_sound() || is_over(&heard, now) {
+    /// Merges a finding received from another node. If it adds anything, the merged finding is
+    /// returned, and may be announced to other nodes in turn.
+    pub fn merge_remote(&mut self, received: &Finding, now: UnixMs) -> Option<Finding> {
+        let max_unix_ms = now + as_ms(MAX_HOLD_TTL);
+        let until_unix_ms = received.until_unix_ms.min(max_unix_ms);
+        let received = Finding { until_unix_ms, ..received.clone() };
+        if !received.is_valid() || is_expired(&received, now) {
             return None;
         }
-        if !self.known.contains_key(&heard.content) {
-            if heard.waves == 1 {
-                self.note_first(now);
+        if !self.table.contains_key(&received.content) {
+            if received.waves == 1 {
+                self.record_first_crash(now);
             }
-            // Pushed out by it, another would be news again when the next peer tells it.
-            if !self.make_room(now, heard.waves) {
+            // A finding evicted for an equal one would be new again when the next peer sends it.
+            if !self.make_room(now, received.waves) {
                 return None;
             }
         }
-        let held = self.known.entry(heard.content).or_insert_with(|| Held {
-            finding: Finding::none(heard.content),
+        let entry = self.table.entry(received.content).or_insert_with(|| Entry {
+            finding: Finding::empty(received.content),
             is_shared: false,
             found_unix_ms: now,
         });
-        let waves_before = held.finding.waves;
-        let is_news = held.finding.merge(&heard) || !held.is_shared;
-        held.is_shared = true;
-        if !is_news {
+        let waves_before = entry.finding.waves;
+        let is_new = entry.finding.merge(&received) || !entry.is_shared;
+        entry.is_shared = true;
+        if !is_new {
             return None;
         }
-        let known = held.finding.clone();
-        if self.was_answered(known.content, now) && !known.is_clear() {
-            self.clear(known.content, now);
-            return self.known.get(&known.content).map(|held| held.finding.clone());
+        let merged = entry.finding.clone();
+        if self.has_recent_response(merged.content, now) && !merged.is_clear() {
+            self.clear(merged.content, now);
+            return self.table.get(&merged.content).map(|entry| entry.finding.clone());
         }
-        let is_weighty = known.waves.max(waves_before) > 1;
-        self.tell(known.clone(), is_weighty, now);
-        Some(known)
+        let must_reach_all = merged.waves.max(waves_before) > 1;
+        self.announce(merged.clone(), must_reach_all, now);
+        Some(merged)
     }
 
-    /// Has other nodes told of a finding, unless many upstreams end and it is none of weight.
-    fn tell(&mut self, finding: Finding, is_weighty: bool, now: UnixMs) {
-        if is_weighty || !self.many_end(now) {
-            self.news.push(News { finding, is_weighty });
+    /// Queues a finding for other nodes. During a mass crash, only one that must reach all nodes is
+    /// queued.
+    fn announce(&mut self, finding: Finding, must_reach_all: bool, now: UnixMs) {
+        if must_reach_all || !self.is_mass_crash(now) {
+            self.new_findings.push(NewFinding { finding, must_reach_all });
         }
     }
 
-    fn note_first(&mut self, now: UnixMs) {
-        if self.firsts.len() > FIRSTS_MOST {
-            self.firsts.pop_front();
+    fn record_first_crash(&mut self, now: UnixMs) {
+        if self.first_crashes.len() > MAX_FIRST_CRASHES {
+            self.first_crashes.pop_front();
         }
-        self.firsts.push_back(now);
+        self.first_crashes.push_back(now);
     }
 
-    /// Returns true while so many requests had a first crash that upstreams end by themselves.
-    fn many_end(&self, now: UnixMs) -> bool {
-        let since = now.saturating_sub(as_ms(FIRSTS_WITHIN));
-        self.firsts.iter().filter(|at| **at >= since).count() > FIRSTS_MOST
+    /// Returns true while first crashes are so many that upstreams end for a reason of their own.
+    fn is_mass_crash(&self, now: UnixMs) -> bool {
+        let since = now.saturating_sub(as_ms(FIRST_CRASH_WINDOW));
+        self.first_crashes.iter().filter(|at| **at >= since).count() > MAX_FIRST_CRASHES
     }
 
-    /// Returns true when a request was answered by an upstream a moment ago.
-    fn was_answered(&self, content: Content, now: UnixMs) -> bool {
-        let since = now.saturating_sub(as_ms(ANSWERED_FOR));
-        self.answered.iter().rev().any(|(other, at)| *other == content && *at >= since)
+    /// Returns true when a request got a response from an upstream a moment ago.
+    fn has_recent_response(&self, content: ContentKey, now: UnixMs) -> bool {
+        let since = now.saturating_sub(as_ms(RECENT_RESPONSE_TTL));
+        self.recent_responses.iter().rev().any(|(other, at)| *other == content && *at >= since)
     }
 
-    /// Returns the findings to be told to other nodes since the last call.
-    pub fn take_news(&mut self, now: UnixMs) -> Vec<News> {
-        let may_tell = !self.many_end(now);
-        for held in self.known.values_mut().filter(|held| may_tell && !held.is_shared) {
-            let due = held.found_unix_ms + as_ms(KEPT_TO_ITSELF) + kept_longer_ms(held);
-            if (due..due + as_ms(TOLD_WITHIN)).contains(&now) {
-                held.is_shared = true;
-                self.news.push(News { finding: held.finding.clone(), is_weighty: false });
+    /// Takes the findings that became due for announcement to other nodes since the last call.
+    pub fn take_new_findings(&mut self, now: UnixMs) -> Vec<NewFinding> {
+        let may_announce = !self.is_mass_crash(now);
+        for entry in self.table.values_mut().filter(|entry| may_announce && !entry.is_shared) {
+            let due =
+                entry.found_unix_ms + as_ms(FIRST_CRASH_ANNOUNCE_DELAY) + announce_jitter_ms(entry);
+            if (due..due + as_ms(FIRST_CRASH_ANNOUNCE_TIMEOUT)).contains(&now) {
+                entry.is_shared = true;
+                self.new_findings
+                    .push(NewFinding { finding: entry.finding.clone(), must_reach_all: false });
             }
         }
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.new_findings)
     }
 
-    /// Returns what a peer of another digest is told: nothing if its digest is this node's by now.
-    pub fn to_tell_a_peer(&self, its_digest: u64) -> Vec<Finding> {
-        match its_digest == self.digest() {
+    /// Returns the findings to send to a peer that reported `peer_digest`; none if it equals this
+    /// node's digest.
+    pub fn findings_for_peer(&self, peer_digest: u64) -> Vec<Finding> {
+        match peer_digest == self.digest() {
             true => Vec::new(),
-            false => self.to_tell(),
+            false => self.sync_findings(),
         }
     }
 
-    /// Returns what a node is told that does not hold back the same requests: those, and others
-    /// that were cleared once or are likely.
-    fn to_tell(&self) -> Vec<Finding> {
-        let weighs = |f: &&Finding| f.is_held() || f.epoch > 0 || f.waves > 1;
-        let shared = self.known.values().filter(|held| held.is_shared).map(|held| &held.finding);
-        let mut findings: Vec<Finding> = shared.filter(weighs).cloned().collect();
+    /// Returns the findings that bring a node with another set of held requests up to date: those
+    /// of held requests first, then cleared ones and those with several consecutive crashes.
+    fn sync_findings(&self) -> Vec<Finding> {
+        let is_relevant = |f: &&Finding| f.is_held() || f.epoch > 0 || f.waves > 1;
+        let shared =
+            self.table.values().filter(|entry| entry.is_shared).map(|entry| &entry.finding);
+        let mut findings: Vec<Finding> = shared.filter(is_relevant).cloned().collect();
         findings.sort_by_key(|f| (!f.is_held(), std::cmp::Reverse(f.until_unix_ms)));
-        findings.truncate(TOLD_MOST);
+        findings.truncate(MAX_SYNC_FINDINGS);
         findings
     }
 
-    /// Returns what is known of requests that crashed upstreams, those held back first.
+    /// Returns the findings of requests that are not cleared, those held first.
     pub fn findings(&self) -> Vec<&Finding> {
         let mut findings: Vec<&Finding> = self.all().filter(|f| !f.is_clear()).collect();
-        findings.sort_by_cached_key(|f| (!self.holds(f), f.content));
+        findings.sort_by_cached_key(|f| (!self.is_hold_in_effect(f), f.content));
         findings
     }
 
-    /// Returns all that is known, also of requests that were cleared.
+    /// Returns all findings, also those of cleared requests.
     pub fn all(&self) -> impl Iterator<Item = &Finding> {
-        self.known.values().map(|held| &held.finding)
+        self.table.values().map(|entry| &entry.finding)
     }
 
-    /// Returns the requests that are held back.
+    /// Returns the findings of requests that are held.
     pub fn held(&self) -> impl Iterator<Item = &Finding> {
-        self.all().filter(|finding| self.holds(finding))
+        self.all().filter(|finding| self.is_hold_in_effect(finding))
     }
 
-    /// Returns a number that differs, most likely, from that of a node that holds back others.
+    /// Returns a digest of the held requests, which almost certainly differs between nodes that
+    /// hold different ones.
     ///
-    /// A node that was cut off, paused or started late has missed what was told meanwhile; by this
-    /// number its peers notice at the next ping, and tell it all that they know.
+    /// A node that was partitioned, paused or started late has missed announcements. Its peers
+    /// notice the different digest at the next ping and send it their findings.
     pub fn digest(&self) -> u64 {
         let held = self.all().filter(|finding| finding.is_held());
         held.fold(0, |digest, finding| digest ^ finding.digest())
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired findings.
     pub fn expire(&mut self, now: UnixMs) {
-        self.known.retain(|_, held| !is_over(&held.finding, now));
+        self.table.retain(|_, entry| !is_expired(&entry.finding, now));
     }
 
-    /// Makes room for a finding of `waves` crashes in sequence; false when all that is known weighs as
-    /// much.
+    /// Makes room for a finding of `waves` consecutive crashes. Returns false when every finding on
+    /// record has as many.
     fn make_room(&mut self, now: UnixMs, waves: u8) -> bool {
-        if self.known.len() < KNOWN_MOST {
+        if self.table.len() < MAX_ENTRIES {
             return true;
         }
         self.expire(now);
-        let weight =
-            |held: &Held| (held.finding.is_held(), held.finding.waves, held.finding.until_unix_ms);
-        let least = self.known.iter().min_by_key(|(_, held)| weight(held));
-        match least.map(|(content, held)| (*content, held.finding.waves)) {
-            Some((content, least)) if least < waves => self.known.remove(&content).is_some(),
-            Some(_) => self.known.len() < KNOWN_MOST,
+        let priority = |entry: &Entry| {
+            (entry.finding.is_held(), entry.finding.waves, entry.finding.until_unix_ms)
+        };
+        let lowest = self.table.iter().min_by_key(|(_, entry)| priority(entry));
+        match lowest.map(|(content, entry)| (*content, entry.finding.waves)) {
+            Some((content, lowest)) if lowest < waves => self.table.remove(&content).is_some(),
+            Some(_) => self.table.len() < MAX_ENTRIES,
             None => true,
         }
     }
 }
 
-/// Returns how much longer than others a node keeps a first crash to itself.
-fn kept_longer_ms(held: &Held) -> UnixMs {
-    held.finding.digest() % as_ms(KEPT_LONGER)
+/// Returns the additional delay before a first crash is announced.
+fn announce_jitter_ms(entry: &Entry) -> UnixMs {
+    entry.finding.digest() % as_ms(MAX_ANNOUNCE_JITTER)
 }
 
-/// Returns for how long a request is held back that crashed upstreams `waves` times in sequence.
-fn held_for(waves: u8) -> Duration {
-    let trials = u32::from(waves.saturating_sub(WAVES_TRIED_SOON)).min(u32::BITS - 1);
-    HELD_FOR.saturating_mul(1 << trials).min(HELD_MOST)
+/// Returns how long a request with `waves` consecutive crashes is held.
+fn hold_ttl(waves: u8) -> Duration {
+    let trials = u32::from(waves.saturating_sub(MAX_WAVES_BEFORE_TRIAL)).min(u32::BITS - 1);
+    MIN_HOLD_TTL.saturating_mul(1 << trials).min(MAX_HOLD_TTL)
 }
 
-/// Returns true when a finding counts no longer.
-fn is_over(finding: &Finding, now: UnixMs) -> bool {
+/// Returns true when a finding no longer counts and need not be remembered.
+fn is_expired(finding: &Finding, now: UnixMs) -> bool {
     let remembered_for = match finding.is_held() {
-        true => TRIED_WITHIN,
+        true => EXPIRED_HOLD_TTL,
         false => Duration::ZERO,
     };
     finding.until_unix_ms + as_ms(remembered_for) <= now
 }
 
-fn as_ms(time: Duration) -> UnixMs {
-    time.as_millis() as UnixMs
+fn as_ms(duration: Duration) -> UnixMs {
+    duration.as_millis() as UnixMs
 }
 
 fn decrement<K: std::hash::Hash + Eq>(counts: &mut HashMap<K, u32>, key: &K) {
--- a/crates/quarantine/src/ledger/tests.rs
+++ b/crates/quarantine/src/ledger/tests.rs
@@ -3,331 +3,323 @@
 use proptest::prelude::*;
 
 use super::{
-    as_ms, Ledger, Verdict, FIRSTS_MOST, FIRST_TRIAL_AFTER, HELD_FOR, KEPT_LONGER, KEPT_TO_ITSELF,
-    KNOWN_MOST,
+    as_ms, Decision, Quarantine, FIRST_CRASH_ANNOUNCE_DELAY, FIRST_TRIAL_DELAY,
+    MAX_ANNOUNCE_JITTER, MAX_ENTRIES, MAX_FIRST_CRASHES, MIN_HOLD_TTL,
 };
-use crate::{Content, Finding, Start, UnixMs};
+use crate::{ContentKey, Finding, Start, UnixMs};
 
 const NOW: UnixMs = 1_800_000_000_000;
 
-fn content(text: &str) -> Content {
-    Content::of([text.as_bytes()])
+fn content(text: &str) -> ContentKey {
+    ContentKey::of([text.as_bytes()])
 }
 
 fn start(n: u64) -> Start {
     Start::of("u", n)
 }
 
-/// Has upstream `n` crash while it runs a request that was sent there just now.
-fn crash(ledger: &mut Ledger, text: &str, n: u64) -> Option<Finding> {
-    let known = ledger.known(content(text));
-    ledger.crashed(content(text), known, start(n), NOW)
+/// Makes upstream `n` crash under a request that was sent there just now.
+fn crash(quarantine: &mut Quarantine, text: &str, n: u64) -> Option<Finding> {
+    let version = quarantine.version(content(text));
+    quarantine.record_crash(content(text), version, start(n), NOW)
 }
 
-/// Returns the findings that a node has to tell.
-fn news(ledger: &mut Ledger, now: UnixMs) -> Vec<Finding> {
-    ledger.take_news(now).into_iter().map(|news| news.finding).collect()
+/// Returns the findings that a node has to announce.
+fn new_findings(quarantine: &mut Quarantine, now: UnixMs) -> Vec<Finding> {
+    quarantine.take_new_findings(now).into_iter().map(|new| new.finding).collect()
 }
 
-fn verdict(ledger: &Ledger, text: &str) -> Verdict {
-    ledger.verdict(content(text), || false, NOW)
+fn decide(quarantine: &Quarantine, text: &str) -> Decision {
+    quarantine.decide(content(text), || false, NOW)
 }
 
 #[test]
-fn a_request_is_held_back_after_its_third_crash() {
-    let mut ledger = Ledger::default();
-    assert_eq!(verdict(&ledger, "a"), Verdict::Free);
-    assert_eq!(crash(&mut ledger, "a", 1), None);
-    assert_eq!(verdict(&ledger, "a"), Verdict::Apart);
-    assert!(!ledger.is_likely(content("a")));
-    assert_eq!(crash(&mut ledger, "a", 2), None);
-    assert!(ledger.is_likely(content("a")));
-    assert!(crash(&mut ledger, "a", 3).is_some());
-    assert_eq!(verdict(&ledger, "a"), Verdict::Refused(FIRST_TRIAL_AFTER));
-    assert_eq!(verdict(&ledger, "b"), Verdict::Free);
+fn a_request_is_held_after_its_third_crash() {
+    let mut quarantine = Quarantine::default();
+    assert_eq!(decide(&quarantine, "a"), Decision::Allow);
+    assert_eq!(crash(&mut quarantine, "a", 1), None);
+    assert_eq!(decide(&quarantine, "a"), Decision::Isolate);
+    assert!(!quarantine.has_repeated_crashes(content("a")));
+    assert_eq!(crash(&mut quarantine, "a", 2), None);
+    assert!(quarantine.has_repeated_crashes(content("a")));
+    assert!(crash(&mut quarantine, "a", 3).is_some());
+    assert_eq!(decide(&quarantine, "a"), Decision::Reject(FIRST_TRIAL_DELAY));
+    assert_eq!(decide(&quarantine, "b"), Decision::Allow);
 }
 
-/// Symptom: a popular request is refused for an hour.
-/// Sequence: the upstreams of a zone end at once; each was running a copy of it.
-/// Cause: counting upstreams alone. Copies that were sent before any crash was known share one
-/// cause; a copy that is sent afterwards and crashes too has no such excuse.
+/// Guards against holding a popular request for an hour when the upstreams of a zone end at once,
+/// each running a copy of it. Copies sent before any crash was known count as one crash; a copy
+/// sent afterwards that crashes too counts as another.
 #[test]
-fn crashes_at_once_count_as_one_in_sequence() {
-    let mut ledger = Ledger::default();
-    let known = ledger.known(content("a"));
+fn simultaneous_crashes_count_as_one() {
+    let mut quarantine = Quarantine::default();
+    let version = quarantine.version(content("a"));
     for n in 0..5 {
-        assert_eq!(ledger.crashed(content("a"), known, start(n), NOW), None);
+        assert_eq!(quarantine.record_crash(content("a"), version, start(n), NOW), None);
     }
-    assert_eq!(verdict(&ledger, "a"), Verdict::Apart);
-    assert!(crash(&mut ledger, "a", 9).is_some());
+    assert_eq!(decide(&quarantine, "a"), Decision::Isolate);
+    assert!(crash(&mut quarantine, "a", 9).is_some());
 }
 
-/// Symptom: a request crashes the only upstream of a service again and again.
-/// Sequence: it is back each time at its address, and its list names no starts.
-/// Cause: waiting for three upstreams that can be told apart.
+/// Guards against a request that crashes the only upstream of a service forever: the upstream
+/// restarts at its address, its list does not tell incarnations apart, and three distinct ones
+/// never come up.
 #[test]
-fn three_crashes_in_sequence_of_one_upstream_are_enough() {
-    let mut ledger = Ledger::default();
-    assert_eq!(crash(&mut ledger, "a", 1), None);
-    assert_eq!(crash(&mut ledger, "a", 1), None);
-    assert!(crash(&mut ledger, "a", 1).is_some());
+fn three_consecutive_crashes_of_one_upstream_hold_a_request() {
+    let mut quarantine = Quarantine::default();
+    assert_eq!(crash(&mut quarantine, "a", 1), None);
+    assert_eq!(crash(&mut quarantine, "a", 1), None);
+    assert!(crash(&mut quarantine, "a", 1).is_some());
 }
 
-/// Symptom: one upstream whose end two nodes see counts as two.
-/// Sequence: both had a copy of the request there.
-/// Cause: counting what nodes saw, not what crashed.
+/// Guards against counting one crash twice because two nodes each had a copy of the request at the
+/// upstream.
 #[test]
-fn one_crash_counts_once_whoever_saw_it() {
-    let (mut one, mut other) = (Ledger::default(), Ledger::default());
+fn a_crash_seen_by_two_nodes_counts_once() {
+    let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
     crash(&mut one, "a", 1);
     crash(&mut other, "a", 1);
     crash(&mut one, "a", 2);
-    for finding in news(&mut one, NOW) {
-        other.hear(&finding, NOW);
+    for finding in new_findings(&mut one, NOW) {
+        other.merge_remote(&finding, NOW);
     }
     let findings = other.findings();
     assert_eq!((findings[0].crashed.len(), findings[0].is_held()), (2, false));
 }
 
 #[test]
-fn an_answer_clears_a_request_on_all_nodes() {
-    let (mut one, mut other) = (Ledger::default(), Ledger::default());
+fn a_response_clears_a_request_on_all_nodes() {
+    let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
     (1..=3).for_each(|n| drop(crash(&mut one, "a", n)));
-    news(&mut one, NOW).iter().for_each(|finding| drop(other.hear(finding, NOW)));
-    assert!(matches!(verdict(&other, "a"), Verdict::Refused(_)));
-    assert!(other.answered(content("a"), NOW));
-    let told = news(&mut other, NOW);
-    let known = told.iter().filter_map(|finding| one.hear(finding, NOW)).last();
-    assert!(known.is_some_and(|finding| finding.is_clear()));
-    assert_eq!((verdict(&one, "a"), verdict(&other, "a")), (Verdict::Free, Verdict::Free));
+    new_findings(&mut one, NOW).iter().for_each(|finding| drop(other.merge_remote(finding, NOW)));
+    assert!(matches!(decide(&other, "a"), Decision::Reject(_)));
+    assert!(other.record_response(content("a"), NOW));
+    let new = new_findings(&mut other, NOW);
+    let merged = new.iter().filter_map(|finding| one.merge_remote(finding, NOW)).last();
+    assert!(merged.is_some_and(|finding| finding.is_clear()));
+    assert_eq!((decide(&one, "a"), decide(&other, "a")), (Decision::Allow, Decision::Allow));
     assert_eq!((one.digest(), other.digest()), (0, 0));
-    // What another node found before does not bring it back, later either.
-    let mut late = Ledger::default();
+    // Findings from before the clearance do not restore it, even if they arrive later.
+    let mut late = Quarantine::default();
     (1..=3).for_each(|n| drop(crash(&mut late, "a", n)));
-    assert!(news(&mut late, NOW).iter().all(|finding| one.hear(finding, NOW).is_none()));
+    assert!(new_findings(&mut late, NOW)
+        .iter()
+        .all(|finding| one.merge_remote(finding, NOW).is_none()));
 }
 
-/// Symptom: a popular request is refused while it is answered all the time.
-/// Sequence: two series of upstreams end; another node has lost copies in both, and holds it back.
-/// Cause: waiting for the next answer, where there was one a moment ago.
+/// Guards against refusing a popular request that gets responses all the time: two groups of
+/// upstreams end, and another node, which lost copies in both, holds the request. A response from a
+/// moment ago clears it without waiting for the next one.
 #[test]
-fn what_was_answered_a_moment_ago_is_not_blamed() {
-    let (mut one, mut other) = (Ledger::default(), Ledger::default());
-    assert!(!one.answered(content("a"), NOW));
+fn a_recent_response_rules_out_a_request() {
+    let (mut one, mut other) = (Quarantine::default(), Quarantine::default());
+    assert!(!one.record_response(content("a"), NOW));
     assert_eq!(crash(&mut one, "a", 1), None);
-    assert_eq!(verdict(&one, "a"), Verdict::Free);
+    assert_eq!(decide(&one, "a"), Decision::Allow);
     (1..=3).for_each(|n| drop(crash(&mut other, "a", n)));
-    let told = news(&mut other, NOW);
-    let known = told.iter().filter_map(|finding| one.hear(finding, NOW)).last();
-    assert!(known.is_some_and(|finding| finding.is_clear()));
-    assert_eq!(verdict(&one, "a"), Verdict::Free);
-    // Not for ever.
-    let known = one.known(content("a"));
-    one.crashed(content("a"), known, start(5), NOW + 5_000);
-    assert_eq!(one.verdict(content("a"), || false, NOW + 5_000), Verdict::Apart);
+    let new = new_findings(&mut other, NOW);
+    let merged = new.iter().filter_map(|finding| one.merge_remote(finding, NOW)).last();
+    assert!(merged.is_some_and(|finding| finding.is_clear()));
+    assert_eq!(decide(&one, "a"), Decision::Allow);
+    // The response counts for a limited time.
+    let version = one.version(content("a"));
+    one.record_crash(content("a"), version, start(5), NOW + 5_000);
+    assert_eq!(one.decide(content("a"), || false, NOW + 5_000), Decision::Isolate);
 }
 
-/// Symptom: an innocent request is held back though it was answered meanwhile.
-/// Sequence: one copy of it is answered while another is still under way; then the upstream of the
-/// latter crashes.
-/// Cause: counting crashes of copies that were sent before the answer.
+/// Guards against holding a harmless request: one copy gets a response while another is under way,
+/// and then the upstream of the other copy crashes.
 #[test]
-fn a_copy_sent_before_an_answer_does_not_count() {
-    let mut ledger = Ledger::default();
-    crash(&mut ledger, "a", 1);
-    crash(&mut ledger, "a", 2);
-    let known = ledger.known(content("a"));
-    assert!(ledger.answered(content("a"), NOW));
+fn a_crash_of_a_copy_sent_before_a_response_does_not_count() {
+    let mut quarantine = Quarantine::default();
+    crash(&mut quarantine, "a", 1);
+    crash(&mut quarantine, "a", 2);
+    let version = quarantine.version(content("a"));
+    assert!(quarantine.record_response(content("a"), NOW));
     let later = NOW + 10_000;
-    assert_eq!(ledger.crashed(content("a"), known, start(3), later), None);
-    assert_eq!(ledger.verdict(content("a"), || false, later), Verdict::Free);
+    assert_eq!(quarantine.record_crash(content("a"), version, start(3), later), None);
+    assert_eq!(quarantine.decide(content("a"), || false, later), Decision::Allow);
 }
 
-/// Symptom: requests are told to all nodes, and cleared again a moment later.
-/// Sequence: each of them ran beside one that crashed its upstream, is sent again and answered.
-/// Cause: telling a first crash before its request had a chance to be answered.
+/// Guards against announcing requests to all nodes just to clear them a moment later: they ran next
+/// to the one that crashed their upstream, are resent and get a response.
 #[test]
-fn a_first_crash_is_told_after_a_while_unless_it_is_cleared() {
-    let mut ledger = Ledger::default();
-    (0..4).for_each(|n| drop(crash(&mut ledger, &format!("r{n}"), 1)));
-    assert_eq!(news(&mut ledger, NOW), []);
-    (0..3).for_each(|n| assert!(ledger.answered(content(&format!("r{n}")), NOW)));
-    let told = ledger.take_news(NOW + as_ms(KEPT_TO_ITSELF + KEPT_LONGER));
-    assert_eq!(told.len(), 1);
-    assert!(!told[0].is_weighty && told[0].finding.content == content("r3"));
+fn a_first_crash_is_announced_after_a_delay_unless_cleared() {
+    let mut quarantine = Quarantine::default();
+    (0..4).for_each(|n| drop(crash(&mut quarantine, &format!("r{n}"), 1)));
+    assert_eq!(new_findings(&mut quarantine, NOW), []);
+    (0..3).for_each(|n| assert!(quarantine.record_response(content(&format!("r{n}")), NOW)));
+    let new =
+        quarantine.take_new_findings(NOW + as_ms(FIRST_CRASH_ANNOUNCE_DELAY + MAX_ANNOUNCE_JITTER));
+    assert_eq!(new.len(), 1);
+    assert!(!new[0].must_reach_all && new[0].finding.content == content("r3"));
 }
 
-/// Symptom: a fleet is busy for minutes with telling its nodes of requests.
-/// Sequence: many upstreams end at once, and each node has lost other requests with them.
-/// Cause: telling all of them, though none can be blamed.
+/// Guards against a fleet that is busy for minutes with announcements: many upstreams end at once
+/// and every node has lost other requests with them, none of which can be blamed.
 #[test]
-fn first_crashes_are_not_told_while_many_upstreams_end() {
-    let later = NOW + as_ms(KEPT_TO_ITSELF + KEPT_LONGER);
-    let mut ledger = Ledger::default();
-    (0..=FIRSTS_MOST as u64).for_each(|n| drop(crash(&mut ledger, &format!("r{n}"), n)));
-    assert_eq!(news(&mut ledger, later), []);
-    assert_eq!(news(&mut ledger, later + 60_000), [], "nor later");
-    // Those that were heard of count too.
-    let (mut one, mut others) = (Ledger::default(), Ledger::default());
-    (0..=FIRSTS_MOST as u64).for_each(|n| drop(crash(&mut others, &format!("r{n}"), n)));
+fn first_crashes_are_not_announced_during_a_mass_crash() {
+    let later = NOW + as_ms(FIRST_CRASH_ANNOUNCE_DELAY + MAX_ANNOUNCE_JITTER);
+    let mut quarantine = Quarantine::default();
+    (0..=MAX_FIRST_CRASHES as u64).for_each(|n| drop(crash(&mut quarantine, &format!("r{n}"), n)));
+    assert_eq!(new_findings(&mut quarantine, later), []);
+    assert_eq!(new_findings(&mut quarantine, later + 60_000), [], "nor later");
+    // First crashes received from other nodes count too.
+    let (mut one, mut others) = (Quarantine::default(), Quarantine::default());
+    (0..=MAX_FIRST_CRASHES as u64).for_each(|n| drop(crash(&mut others, &format!("r{n}"), n)));
     for finding in others.all() {
-        one.hear(finding, NOW);
+        one.merge_remote(finding, NOW);
     }
-    one.take_news(NOW);
+    one.take_new_findings(NOW);
     crash(&mut one, "mine", 77);
-    assert_eq!(news(&mut one, later), []);
-    // A second crash is told all the same.
+    assert_eq!(new_findings(&mut one, later), []);
+    // A second crash is announced nevertheless.
     crash(&mut one, "mine", 78);
-    assert!(news(&mut one, later).iter().any(|finding| finding.content == content("mine")));
+    assert!(new_findings(&mut one, later).iter().any(|finding| finding.content == content("mine")));
 }
 
-/// Symptom: nodes pass the same findings on and on.
-/// Sequence: more requests crashed an upstream each than a node keeps; each that is pushed out is
-/// news when the next peer tells it.
-/// Cause: keeping the newest whatever it weighs.
+/// Guards against nodes that pass the same findings around forever: there are more requests with a
+/// single crash than a node keeps, and one evicted for another would be new again when the next
+/// peer sends it.
 #[test]
-fn what_weighs_no_more_than_all_that_is_known_is_no_news() {
-    let mut ledger = Ledger::default();
-    (0..KNOWN_MOST as u64).for_each(|n| drop(crash(&mut ledger, &format!("r{n}"), n)));
-    let mut other = Ledger::default();
+fn a_full_table_ignores_findings_without_more_crashes() {
+    let mut quarantine = Quarantine::default();
+    (0..MAX_ENTRIES as u64).for_each(|n| drop(crash(&mut quarantine, &format!("r{n}"), n)));
+    let mut other = Quarantine::default();
     crash(&mut other, "light", 1);
     (1..=3).for_each(|n| drop(crash(&mut other, "heavy", n)));
     let light = other.all().find(|f| f.content == content("light")).cloned();
-    assert_eq!(ledger.hear(&light.expect("it is known"), NOW), None);
+    assert_eq!(quarantine.merge_remote(&light.expect("it is known"), NOW), None);
     let heavy = other.held().next().cloned().expect("it is held back");
-    assert!(ledger.hear(&heavy, NOW).is_some());
-    assert_eq!(ledger.known.len(), KNOWN_MOST);
+    assert!(quarantine.merge_remote(&heavy, NOW).is_some());
+    assert_eq!(quarantine.table.len(), MAX_ENTRIES);
 }
 
 #[test]
-fn a_second_crash_is_told_at_once() {
-    let mut ledger = Ledger::default();
-    crash(&mut ledger, "a", 1);
-    crash(&mut ledger, "a", 2);
-    let told = ledger.take_news(NOW);
-    assert!(told.len() == 1 && told[0].is_weighty);
+fn a_second_crash_is_announced_at_once() {
+    let mut quarantine = Quarantine::default();
+    crash(&mut quarantine, "a", 1);
+    crash(&mut quarantine, "a", 2);
+    let new = quarantine.take_new_findings(NOW);
+    assert!(new.len() == 1 && new[0].must_reach_all);
 }
 
-/// Symptom: a request that was mended is refused for good, or all nodes try it at once.
-/// Sequence: its time is over, and its callers come to all nodes.
-/// Cause: no trial, or one by each node. One node of the fleet tries, one copy at a time.
+/// Guards against refusing a fixed request forever, and against a trial by every node at once when
+/// the hold is over and callers come to all nodes. One node of the fleet tries, one copy at a time.
 #[test]
-fn one_node_tries_a_request_whose_time_is_over() {
-    let mut ledger = Ledger::default();
-    (1..=3).for_each(|n| drop(crash(&mut ledger, "a", n)));
-    let later = NOW + as_ms(FIRST_TRIAL_AFTER);
-    let verdict = |ledger: &Ledger, may_try| ledger.verdict(content("a"), || may_try, later);
-    assert!(matches!(verdict(&ledger, false), Verdict::Refused(_)));
-    assert_eq!(verdict(&ledger, true), Verdict::Apart);
-    ledger.begin(content("a"), start(4));
-    assert!(matches!(verdict(&ledger, true), Verdict::Refused(_)));
-    let known = ledger.known(content("a"));
-    ledger.end(content("a"), start(4));
-    ledger.crashed(content("a"), known, start(4), later);
-    assert_eq!(verdict(&ledger, true), Verdict::Refused(HELD_FOR * 2), "it crashed another");
+fn one_node_tries_a_request_whose_hold_is_over() {
+    let mut quarantine = Quarantine::default();
+    (1..=3).for_each(|n| drop(crash(&mut quarantine, "a", n)));
+    let later = NOW + as_ms(FIRST_TRIAL_DELAY);
+    let decide =
+        |quarantine: &Quarantine, may_try| quarantine.decide(content("a"), || may_try, later);
+    assert!(matches!(decide(&quarantine, false), Decision::Reject(_)));
+    assert_eq!(decide(&quarantine, true), Decision::Isolate);
+    quarantine.begin_attempt(content("a"), start(4));
+    assert!(matches!(decide(&quarantine, true), Decision::Reject(_)));
+    let version = quarantine.version(content("a"));
+    quarantine.end_attempt(content("a"), start(4));
+    quarantine.record_crash(content("a"), version, start(4), later);
+    assert_eq!(decide(&quarantine, true), Decision::Reject(MIN_HOLD_TTL * 2), "it crashed another");
 }
 
 #[test]
-fn a_likely_request_is_sent_one_at_a_time() {
-    let mut ledger = Ledger::default();
-    crash(&mut ledger, "a", 1);
-    ledger.begin(content("a"), start(2));
-    assert_eq!(verdict(&ledger, "a"), Verdict::Apart);
-    crash(&mut ledger, "a", 2);
-    assert!(matches!(verdict(&ledger, "a"), Verdict::Refused(_)));
-    ledger.end(content("a"), start(2));
-    assert_eq!(verdict(&ledger, "a"), Verdict::Apart);
+fn a_request_with_repeated_crashes_is_sent_one_copy_at_a_time() {
+    let mut quarantine = Quarantine::default();
+    crash(&mut quarantine, "a", 1);
+    quarantine.begin_attempt(content("a"), start(2));
+    assert_eq!(decide(&quarantine, "a"), Decision::Isolate);
+    crash(&mut quarantine, "a", 2);
+    assert!(matches!(decide(&quarantine, "a"), Decision::Reject(_)));
+    quarantine.end_attempt(content("a"), start(2));
+    assert_eq!(decide(&quarantine, "a"), Decision::Isolate);
 }
 
-/// Symptom: a harmless request is refused for minutes, on all nodes.
-/// Sequence: it runs at three upstreams one after the other, each time beside the request that
-/// crashes them, which two nodes sent to the same upstream by chance.
-/// Cause: each crash counts against all that ran there, though one of them explains them all.
+/// Guards against refusing a harmless request for minutes on all nodes: it runs at three upstreams
+/// one after the other, by chance each time next to the request that crashes them.
 #[test]
-fn what_shares_all_its_crashes_with_a_heavier_request_is_not_held_back() {
-    let mut ledger = Ledger::default();
-    crash(&mut ledger, "crashing", 1);
+fn a_request_explained_by_another_is_not_held() {
+    let mut quarantine = Quarantine::default();
+    crash(&mut quarantine, "crashing", 1);
     for n in 2..=4 {
-        crash(&mut ledger, "crashing", n);
-        assert_eq!(crash(&mut ledger, "beside", n), None);
+        crash(&mut quarantine, "crashing", n);
+        assert_eq!(crash(&mut quarantine, "beside", n), None);
     }
-    assert!(ledger.is_held(content("crashing")) && !ledger.is_held(content("beside")));
-    assert_eq!(verdict(&ledger, "beside"), Verdict::Apart);
-    // Alone it crashes another: it was not the other request.
-    assert!(crash(&mut ledger, "beside", 5).is_some());
+    assert!(quarantine.is_held(content("crashing")) && !quarantine.is_held(content("beside")));
+    assert_eq!(decide(&quarantine, "beside"), Decision::Isolate);
+    // Running isolated it crashes another upstream: the other request was not the cause.
+    assert!(crash(&mut quarantine, "beside", 5).is_some());
 }
 
-/// Symptom: of two requests one is refused for minutes though it is harmless, or both go on.
-/// Sequence: they run at the same three upstreams, one after the other.
-/// Cause: nothing tells them apart but one more run, which only one of them may get at a time.
+/// Guards against refusing a harmless request for minutes, or letting a crashing one go on, when
+/// two requests run at the same three upstreams. Only another run tells them apart, and only one of
+/// the two may have it at a time.
 #[yare::parameterized(
-    the_lighter_one_is_harmless = { true },
-    the_lighter_one_crashes_them = { false },
+    the_isolated_one_is_harmless = { true },
+    the_isolated_one_crashes_upstreams = { false },
 )]
-fn of_two_that_share_all_crashes_one_runs_once_more(is_harmless: bool) {
-    let mut ledger = Ledger::default();
+fn of_two_requests_with_the_same_crashes_one_runs_again(is_harmless: bool) {
+    let mut quarantine = Quarantine::default();
     for n in 1..=3 {
-        crash(&mut ledger, "a", n);
-        crash(&mut ledger, "b", n);
+        crash(&mut quarantine, "a", n);
+        crash(&mut quarantine, "b", n);
     }
-    let (runs, waits) = match verdict(&ledger, "a") {
-        Verdict::Apart => ("a", "b"),
+    let (isolated, rejected) = match decide(&quarantine, "a") {
+        Decision::Isolate => ("a", "b"),
         _ => ("b", "a"),
     };
-    assert_eq!(verdict(&ledger, runs), Verdict::Apart);
-    assert!(matches!(verdict(&ledger, waits), Verdict::Refused(_)));
+    assert_eq!(decide(&quarantine, isolated), Decision::Isolate);
+    assert!(matches!(decide(&quarantine, rejected), Decision::Reject(_)));
     match is_harmless {
-        true => assert!(ledger.answered(content(runs), NOW)),
-        false => assert!(crash(&mut ledger, runs, 4).is_some()),
+        true => assert!(quarantine.record_response(content(isolated), NOW)),
+        false => assert!(crash(&mut quarantine, isolated, 4).is_some()),
     }
-    let held = if is_harmless { waits } else { runs };
-    assert_eq!(ledger.held().map(|f| f.content).collect::<Vec<_>>(), [content(held)]);
+    let held = if is_harmless { rejected } else { isolated };
+    assert_eq!(quarantine.held().map(|f| f.content).collect::<Vec<_>>(), [content(held)]);
 }
 
 #[test]
-fn suspected_requests_are_kept_apart_from_each_other() {
-    let mut ledger = Ledger::default();
-    assert!(ledger.is_apart(start(1)));
-    ledger.begin(content("a"), start(1));
-    ledger.begin(content("b"), start(1));
-    assert!(!ledger.is_apart(start(1)));
-    ledger.end(content("a"), start(1));
-    assert!(!ledger.is_apart(start(1)) && ledger.is_apart(start(2)));
-    ledger.end(content("b"), start(1));
-    assert!(ledger.is_apart(start(1)));
+fn suspected_requests_are_isolated_from_each_other() {
+    let mut quarantine = Quarantine::default();
+    assert!(quarantine.has_no_suspects(start(1)));
+    quarantine.begin_attempt(content("a"), start(1));
+    quarantine.begin_attempt(content("b"), start(1));
+    assert!(!quarantine.has_no_suspects(start(1)));
+    quarantine.end_attempt(content("a"), start(1));
+    assert!(!quarantine.has_no_suspects(start(1)) && quarantine.has_no_suspects(start(2)));
+    quarantine.end_attempt(content("b"), start(1));
+    assert!(quarantine.has_no_suspects(start(1)));
 }
 
-/// Symptom: a node's memory grows, or a request that is held back is let through again.
-/// Sequence: somebody crashes upstreams by a million different requests.
-/// Cause: no bound, or one that pushes out what weighs most.
+/// Guards against unbounded memory, and against letting a held request through again, when a client
+/// crashes upstreams with a great many different requests.
 #[test]
-fn a_million_others_do_not_push_out_what_is_held_back() {
-    let mut ledger = Ledger::default();
-    (1..=3).for_each(|n| drop(crash(&mut ledger, "a", n)));
-    for n in 0..3 * KNOWN_MOST {
-        crash(&mut ledger, &format!("r{n}"), n as u64);
+fn many_other_requests_do_not_evict_held_ones() {
+    let mut quarantine = Quarantine::default();
+    (1..=3).for_each(|n| drop(crash(&mut quarantine, "a", n)));
+    for n in 0..3 * MAX_ENTRIES {
+        crash(&mut quarantine, &format!("r{n}"), n as u64);
     }
-    assert!(matches!(verdict(&ledger, "a"), Verdict::Refused(_)));
-    assert_eq!(ledger.known.len(), KNOWN_MOST);
+    assert!(matches!(decide(&quarantine, "a"), Decision::Reject(_)));
+    assert_eq!(quarantine.table.len(), MAX_ENTRIES);
 }
 
-/// Symptom: a request is refused for years since a peer said so.
-/// Sequence: the peer's clock is wrong, or its memory.
-/// Cause: taking a peer's times as they are.
+/// Guards against refusing a request for years because a peer with a wrong clock or corrupt memory
+/// sent a late expiry.
 #[test]
-fn what_a_peer_says_counts_for_a_day_at_most() {
-    let (mut ledger, mut peer) = (Ledger::default(), Ledger::default());
+fn remote_findings_are_kept_for_a_day_at_most() {
+    let (mut quarantine, mut peer) = (Quarantine::default(), Quarantine::default());
     (1..=3).for_each(|n| drop(crash(&mut peer, "a", n)));
-    let mut finding = news(&mut peer, NOW).pop().expect("news");
+    let mut finding = new_findings(&mut peer, NOW).pop().expect("a new finding");
     finding.until_unix_ms = u64::MAX;
-    assert!(ledger.hear(&finding, NOW).is_some());
+    assert!(quarantine.merge_remote(&finding, NOW).is_some());
     let day = Duration::from_secs(24 * 3_600);
-    assert_eq!(verdict(&ledger, "a"), Verdict::Refused(day - HELD_FOR + FIRST_TRIAL_AFTER));
-    ledger.expire(NOW + 2 * as_ms(day));
-    assert!(ledger.is_empty());
+    assert_eq!(decide(&quarantine, "a"), Decision::Reject(day - MIN_HOLD_TTL + FIRST_TRIAL_DELAY));
+    quarantine.expire(NOW + 2 * as_ms(day));
+    assert!(quarantine.is_empty());
 }
 
-/// One thing that happens at one of three nodes.
+/// One event at one of three nodes.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Crash {
@@ -341,7 +333,7 @@
         node: usize,
     },
     /// One node's findings reach another.
-    Tell {
+    Sync {
         from: usize,
         to: usize,
     },
@@ -352,38 +344,37 @@
         4 => (0..3usize, 0..8u64).prop_map(|(node, upstream)| Step::Crash { node, upstream }),
         1 => (0..3usize).prop_map(|node| Step::Answer { node }),
         1 => (0..3usize).prop_map(|node| Step::Lift { node }),
-        4 => (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Tell { from, to }),
+        4 => (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Sync { from, to }),
     ]
 }
 
 proptest! {
-    /// Symptom: one node of a fleet goes on sending a request that all others hold back.
-    /// Sequence: crashes, answers and an operator's word at several nodes; what they tell each other
-    /// is lost, late, doubled and in any order; then all is well again.
-    /// Cause: findings that do not converge.
+    /// Guards against one node of a fleet that goes on sending a request which all others hold:
+    /// crashes, responses and lifts by an operator happen at several nodes, and messages between
+    /// them are lost, delayed, duplicated and reordered, until they get through again.
     #[test]
-    fn nodes_that_hear_each_other_agree(steps in prop::collection::vec(step(), 1..40)) {
-        let mut nodes: [Ledger; 3] = Default::default();
+    fn nodes_that_exchange_findings_converge(steps in prop::collection::vec(step(), 1..40)) {
+        let mut nodes: [Quarantine; 3] = Default::default();
         for step in steps {
             match step {
                 Step::Crash { node, upstream } => drop(crash(&mut nodes[node], "a", upstream)),
-                Step::Answer { node } => drop(nodes[node].answered(content("a"), NOW)),
+                Step::Answer { node } => drop(nodes[node].record_response(content("a"), NOW)),
                 Step::Lift { node } => drop(nodes[node].clear(content("a"), NOW)),
-                Step::Tell { from, to } => {
-                    let told = nodes[from].to_tell();
-                    told.iter().for_each(|finding| drop(nodes[to].hear(finding, NOW)));
+                Step::Sync { from, to } => {
+                    let sent = nodes[from].sync_findings();
+                    sent.iter().for_each(|finding| drop(nodes[to].merge_remote(finding, NOW)));
                 }
             }
         }
         for _ in 0..3 {
             for (from, to) in [(0, 1), (1, 2), (2, 0), (1, 0), (2, 1), (0, 2)] {
-                let told = nodes[from].to_tell();
-                told.iter().for_each(|finding| drop(nodes[to].hear(finding, NOW)));
+                let sent = nodes[from].sync_findings();
+                sent.iter().for_each(|finding| drop(nodes[to].merge_remote(finding, NOW)));
             }
         }
-        let verdicts = nodes.each_ref().map(|node| verdict(node, "a"));
-        let held = |verdict: &Verdict| matches!(verdict, Verdict::Refused(_));
-        prop_assert!(verdicts.iter().all(held) || !verdicts.iter().any(held), "{verdicts:?}");
+        let decisions = nodes.each_ref().map(|node| decide(node, "a"));
+        let held = |decision: &Decision| matches!(decision, Decision::Reject(_));
+        prop_assert!(decisions.iter().all(held) || !decisions.iter().any(held), "{decisions:?}");
         prop_assert!(nodes.iter().all(|node| node.digest() == nodes[0].digest()));
     }
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,15 +1,16 @@
-//! Which requests crash the upstreams that run them, and what is done with them.
+//! Detects requests that crash the upstreams that run them and keeps them from the other upstreams.
 //!
-//! The load pattern: one request crashes the process of whichever upstream runs it. Sent again by its
-//! entry node, by its caller and by whoever makes it next, it takes one upstream after the other with
-//! it, and with each the requests of others that ran there.
+//! A request that crashes the process of any upstream that runs it is resent by its entry node, by
+//! its caller and by the next client that makes it. It takes down one upstream after the other, and
+//! with each of them the unrelated requests that ran there.
 //!
-//! Each attempt comes under an id of its own; [`Content`] tells that it is the same request again.
-//! [`Ends`] tells which requests were under way at an upstream when it crashed. [`Ledger`] knows
-//! which of them did so before, on any node, and says which are to be sent apart from others, or not
-//! at all; nodes tell each other by [`Finding`]s. An answer clears a request.
+//! Attempts carry distinct ids; [`ContentKey`] identifies those that are the same request.
+//! [`CrashDetector`] finds out which requests were under way at an upstream when it crashed.
+//! [`Quarantine`] knows which of them crashed upstreams before, on any node, and decides which
+//! requests are sent isolated from others or not at all. Nodes exchange [`Finding`]s. A response
+//! clears a request.
 //!
-//! Everything here is pure: time is passed in.
+//! The crate does no I/O and reads no clock: the time is an argument.
 
 mod content;
 mod ends;
@@ -17,12 +18,12 @@
 mod ledger;
 mod places;
 
-pub use content::Content;
-pub use ends::{Ends, Lost, Start};
+pub use content::ContentKey;
+pub use ends::{CrashDetector, LostRequest, Start};
 pub use finding::Finding;
-pub use ledger::{Known, Ledger, News, Verdict, SUSPECT_FOR};
-pub use places::Places;
+pub use ledger::{Decision, FindingVersion, NewFinding, Quarantine, SUSPICION_TTL};
+pub use places::Reservations;
 
-/// Time of day, in milliseconds since 1970. Nodes' clocks may differ by seconds: what is measured by
-/// it lasts minutes.
+/// Unix time in milliseconds. The clocks of nodes may differ by seconds, so it is used only for
+/// durations of minutes.
 pub type UnixMs = u64;
--- a/crates/quarantine/src/places.rs
+++ b/crates/quarantine/src/places.rs
@@ -1,53 +1,57 @@
-//! Where requests that crashed upstreams one after the other run next, each alone.
+//! Reserves upstreams for requests with several consecutive crashes, so that each runs isolated.
 //!
-//! The load pattern: two requests are under way at the upstream that crashes, and nodes send both on
-//! at the same moment. By its own preference each may choose the same upstream again, and one more
-//! time after that: the harmless one then looks just like the one that crashes upstreams. Nodes that
-//! have heard of the same requests and list the same upstreams deal them out alike, without a word.
+//! When an upstream crashes while two suspected requests are under way, nodes resend both at the
+//! same moment. Were the upstream chosen for each request separately, both could reach the same
+//! upstream again, and once more after that; the harmless one would then look just like the
+//! crashing one. Nodes that know the same requests and list the same upstreams compute the same
+//! reservations without communication.
 
 use std::collections::HashMap;
 
-use crate::{Content, Finding, Start};
+use crate::{ContentKey, Finding, Start};
 
-/// Upstreams set aside for requests.
+/// Upstreams reserved for requests, at most one for each request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places {
-    by_start: HashMap<Start, Content>,
+pub struct Reservations {
+    by_start: HashMap<Start, ContentKey>,
 }
 
-impl Places {
-    /// Gives each of `findings` the upstream that it prefers among those of `starts` that are not
-    /// set aside yet and have not crashed under it; none when all are.
-    pub(crate) fn deal<'a>(
+impl Reservations {
+    /// Reserves for each of `findings` the upstream of `starts` with the highest rendezvous score
+    /// among those that are not reserved yet and have not crashed under the request. A request for
+    /// which none is left gets no reservation.
+    pub(crate) fn assign<'a>(
         findings: impl Iterator<Item = &'a Finding>,
         starts: &[Start],
-    ) -> Places {
+    ) -> Reservations {
         let mut findings: Vec<&Finding> = findings.collect();
         findings.sort_unstable_by_key(|finding| finding.content);
-        let mut places = Places::default();
+        let mut reservations = Reservations::default();
         for finding in findings {
-            let free = starts.iter().filter(|start| !places.by_start.contains_key(start));
-            let sound = free.filter(|start| !finding.crashed.contains(start));
-            if let Some(start) = sound.max_by_key(|start| start.preference(finding.content)) {
-                places.by_start.insert(*start, finding.content);
+            let free = starts.iter().filter(|start| !reservations.by_start.contains_key(start));
+            let eligible = free.filter(|start| !finding.crashed.contains(start));
+            if let Some(start) =
+                eligible.max_by_key(|start| start.rendezvous_score(finding.content))
+            {
+                reservations.by_start.insert(*start, finding.content);
             }
         }
-        places
+        reservations
     }
 
-    /// Returns the upstream that is set aside for a request.
-    pub fn of(&self, content: Content) -> Option<Start> {
+    /// Returns the upstream that is reserved for a request.
+    pub fn start_for(&self, content: ContentKey) -> Option<Start> {
         let (start, _) = self.by_start.iter().find(|(_, other)| **other == content)?;
         Some(*start)
     }
 
-    /// Returns true when an upstream is set aside for this request.
-    pub fn is_for(&self, start: Start, content: Content) -> bool {
+    /// Returns true when an upstream is reserved for the given request.
+    pub fn is_reserved_for(&self, start: Start, content: ContentKey) -> bool {
         self.by_start.get(&start) == Some(&content)
     }
 
-    /// Returns true when an upstream is set aside for another request.
-    pub fn is_for_another(&self, start: Start, content: Content) -> bool {
+    /// Returns true when an upstream is reserved for a request other than the given one.
+    pub fn is_reserved_for_other(&self, start: Start, content: ContentKey) -> bool {
         self.by_start.get(&start).is_some_and(|other| *other != content)
     }
 }
--- a/crates/sim/src/crashes.rs
+++ b/crates/sim/src/crashes.rs
@@ -8,7 +8,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use quarantine::{Content, Finding, Known, Ledger, News, Start, Verdict};
+use quarantine::{ContentKey, Decision, Finding, FindingVersion, NewFinding, Quarantine, Start};
 use rand::rngs::SmallRng;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
@@ -168,7 +168,7 @@
 }
 
 struct Request {
-    content: Content,
+    content: ContentKey,
     crashes: bool,
     sends: u32,
     returns: bool,
@@ -177,7 +177,7 @@
 
 struct Running {
     request: usize,
-    known: Known,
+    known: FindingVersion,
     is_suspected: bool,
 }
 
@@ -191,7 +191,7 @@
 struct World<'a> {
     pattern: &'a Crashes,
     rng: SmallRng,
-    ledgers: Vec<Ledger>,
+    ledgers: Vec<Quarantine>,
     upstreams: Vec<Upstream>,
     requests: Vec<Request>,
     findings: Vec<Finding>,
@@ -208,7 +208,7 @@
     let mut world = World {
         pattern,
         rng: SmallRng::seed_from_u64(seed),
-        ledgers: vec![Ledger::default(); pattern.nodes],
+        ledgers: vec![Quarantine::default(); pattern.nodes],
         upstreams: (0..pattern.upstreams).map(|_| up()).collect(),
         requests: Vec::new(),
         findings: Vec::new(),
@@ -266,7 +266,7 @@
     }
 
     fn ask(&mut self, at: Duration, name: &str, crashes: bool) {
-        let content = Content::of([name.as_bytes()]);
+        let content = ContentKey::of([name.as_bytes()]);
         let request = Request { content, crashes, sends: 0, returns: true, node: 0 };
         self.requests.push(request);
         let request = self.requests.len() - 1;
@@ -292,12 +292,12 @@
             Event::Back { upstream } => self.upstreams[upstream].is_up = true,
             Event::Heard { finding, node } => {
                 let heard = self.findings[finding].clone();
-                let _ = self.ledgers[node].hear(&heard, unix_ms(now));
+                let _ = self.ledgers[node].merge_remote(&heard, unix_ms(now));
                 // Peers that hear it pass it on; here all hear it from the one that found it.
-                let is_own = |news: &News| {
+                let is_own = |news: &NewFinding| {
                     news.finding.content != heard.content || news.finding.epoch > heard.epoch
                 };
-                let news = self.ledgers[node].take_news(unix_ms(now));
+                let news = self.ledgers[node].take_new_findings(unix_ms(now));
                 news.into_iter().filter(is_own).for_each(|news| self.spread(node, news, now));
             }
             Event::Tick => (0..self.pattern.nodes).for_each(|node| self.tell(node, now)),
@@ -306,13 +306,13 @@
 
     /// Has a node tell all others what is news.
     fn tell(&mut self, node: usize, now: Duration) {
-        for news in self.ledgers[node].take_news(unix_ms(now)) {
+        for news in self.ledgers[node].take_new_findings(unix_ms(now)) {
             self.spread(node, news, now);
         }
     }
 
     /// Has all nodes but `node` hear what is news.
-    fn spread(&mut self, node: usize, news: News, now: Duration) {
+    fn spread(&mut self, node: usize, news: NewFinding, now: Duration) {
         self.findings.push(news.finding);
         let finding = self.findings.len() - 1;
         for other in (0..self.pattern.nodes).filter(|other| *other != node) {
@@ -322,11 +322,11 @@
 
     fn send(&mut self, index: usize, now: Duration) {
         let Request { content, node, .. } = self.requests[index];
-        let verdict = self.ledgers[node].verdict(content, || node == 0, unix_ms(now));
-        if matches!(verdict, Verdict::Refused(_)) {
+        let verdict = self.ledgers[node].decide(content, || node == 0, unix_ms(now));
+        if matches!(verdict, Decision::Reject(_)) {
             return self.lost(index, true, now);
         }
-        let is_suspected = verdict == Verdict::Apart;
+        let is_suspected = verdict == Decision::Isolate;
         let Some(upstream) = self.choose(index, is_suspected) else {
             return self.lost(index, false, now);
         };
@@ -334,9 +334,9 @@
         let is_late = self.third_at.is_some_and(|third_at| now > third_at + KNOWN_WITHIN);
         self.report.reached_late += u32::from(self.requests[index].crashes && is_late);
         let start = self.start_of(upstream);
-        let known = self.ledgers[node].known(content);
+        let known = self.ledgers[node].version(content);
         if is_suspected {
-            self.ledgers[node].begin(content, start);
+            self.ledgers[node].begin_attempt(content, start);
         }
         self.upstreams[upstream].running.push(Running { request: index, known, is_suspected });
         let takes = self.pattern.work.mul_f64(self.rng.random_range(0.5..1.5));
@@ -356,7 +356,7 @@
         if is_suspected && self.pattern.apart {
             let starts: Vec<Start> =
                 (0..self.upstreams.len()).map(|upstream| self.start_of(upstream)).collect();
-            let apart = self.ledgers[node].choose_apart(content, &starts, free.clone());
+            let apart = self.ledgers[node].choose_isolated(content, &starts, free.clone());
             if apart.is_some() {
                 return apart;
             }
@@ -382,9 +382,9 @@
         let Request { content, node, .. } = self.requests[index];
         let ledger = &mut self.ledgers[node];
         if is_suspected {
-            ledger.end(content, start);
+            ledger.end_attempt(content, start);
         }
-        ledger.answered(content, unix_ms(now));
+        ledger.record_response(content, unix_ms(now));
         self.report.served += 1;
         self.tell(node, now);
     }
@@ -404,14 +404,14 @@
             let Request { content, node, .. } = self.requests[*request];
             let ledger = &mut self.ledgers[node];
             if *is_suspected {
-                ledger.end(content, *start);
+                ledger.end_attempt(content, *start);
             }
-            ledger.crashed(content, *known, *start, unix_ms(now));
+            ledger.record_crash(content, *known, *start, unix_ms(now));
             self.tell(node, now);
         }
         for (_, Running { request, .. }) in lost {
             let Request { content, node, sends, .. } = self.requests[request];
-            match sends < SENDS && !self.ledgers[node].is_likely(content) {
+            match sends < SENDS && !self.ledgers[node].has_repeated_crashes(content) {
                 true => self.send(request, now),
                 false => self.lost(request, false, now),
             }
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -7,7 +7,7 @@
 //! seeds before it is tried anywhere else.
 //!
 //! What is left out of these: connections, failures, lost messages, processor time. Upstreams that
-//! crash have patterns of their own, [`Crashes`], against [`quarantine::Ledger`].
+//! crash have patterns of their own, [`Crashes`], against [`quarantine::Quarantine`].
 
 mod crashes;
 mod node;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -129,7 +129,7 @@
             fits(&packet.sender.zone) && packet.members.iter().all(|member| fits(&member.zone));
         match () {
             () if !zones_fit => Err(malformed("zone name too long")),
-            () if !packet.findings.iter().all(Finding::is_sound) => {
+            () if !packet.findings.iter().all(Finding::is_valid) => {
                 Err(malformed("unsound finding"))
             }
             () => Ok(packet),
--- a/crates/wire/src/tests.rs
+++ b/crates/wire/src/tests.rs
@@ -47,13 +47,13 @@
 }
 
 fn finding() -> quarantine::Finding {
-    let mut ledger = quarantine::Ledger::default();
-    let content = quarantine::Content::of([b"GET /a".as_slice()]);
+    let mut ledger = quarantine::Quarantine::default();
+    let content = quarantine::ContentKey::of([b"GET /a".as_slice()]);
     for n in 1..=3 {
-        let known = ledger.known(content);
-        ledger.crashed(content, known, quarantine::Start::of("u", n), 1_000);
+        let known = ledger.version(content);
+        ledger.record_crash(content, known, quarantine::Start::of("u", n), 1_000);
     }
-    ledger.take_news(1_000).pop().expect("it was found").finding
+    ledger.take_new_findings(1_000).pop().expect("it was found").finding
 }
 
 #[test]
