--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -173,7 +173,12 @@
             // Nothing is kept waiting after a failure: the answer shows at once what was missed.
             Some(after) if !waits => source.changes(topic, after, Duration::ZERO, PATIENCE).await,
             Some(after) => monoio::select! {
-                read = source.changes(topic, after, bound.wait(), bound.patience()) => read,
+                read = source.changes(
+                    topic,
+                    after,
+                    bound.long_poll_timeout(),
+                    bound.long_poll_grace(),
+                ) => read,
                 () = behind(&node, topic) => Err(SourceError::Behind),
                 () = until_indirect(&node) => continue,
             },
@@ -222,7 +227,7 @@
                 jittered(RETRY.0)
             }
             // Its connection may have gone silent alone: a new one tells.
-            Err(err) if waits && asked_at.elapsed() >= bound.wait() => {
+            Err(err) if waits && asked_at.elapsed() >= bound.long_poll_timeout() => {
                 lost(&node, topic, failures, asked_at, &err);
                 failures += 1;
                 Duration::ZERO
@@ -410,7 +415,7 @@
 /// Lets subscribers go: they may be answered where this node is not.
 fn let_go(node: &Node, topic: Topic, asked_at: Instant) {
     let bound = node.state.borrow().bound(topic);
-    node.subscribers.drop_all(asked_at.elapsed() > bound.wait());
+    node.subscribers.drop_all(asked_at.elapsed() > bound.long_poll_timeout());
 }
 
 fn regained(node: &Node, topic: Topic, failures: u32) {
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -86,9 +86,9 @@
     /// Reads the load header of an upstream's answer.
     pub read_load: fn(&str) -> Option<place::Load>,
     /// Time within which a configuration that the platform took must be in force.
-    pub config_bound: lease::Bound,
+    pub config_bound: lease::StalenessBound,
     /// The same for what changes about upstreams.
-    pub list_bound: lease::Bound,
+    pub list_bound: lease::StalenessBound,
     /// How long callers may keep a directory answer.
     pub directory_ttl: Duration,
     /// Time from the signal to stop until the process is killed.
--- a/crates/edge/src/relay/subscribe.rs
+++ b/crates/edge/src/relay/subscribe.rs
@@ -240,7 +240,10 @@
     loop {
         let every = {
             let settings = &node.state.borrow().settings;
-            settings.config_bound.ask_every().min(settings.list_bound.ask_every())
+            settings
+                .config_bound
+                .peer_query_interval()
+                .min(settings.list_bound.peer_query_interval())
         };
         monoio::time::sleep(every).await;
         let ask = Ask { asked_after: began.elapsed() };
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -317,7 +317,7 @@
     }
 
     /// Returns the time within which changes of a topic must be in force.
-    pub fn bound(&self, topic: Topic) -> lease::Bound {
+    pub fn bound(&self, topic: Topic) -> lease::StalenessBound {
         match topic {
             Topic::Config => self.settings.config_bound,
             Topic::Upstreams => self.settings.list_bound,
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,70 +1,75 @@
-//! For how long a node relies on what it, or a peer, has read of the platform.
+//! Leases on data read from the platform, directly or through a peer.
 //!
-//! A change that the platform took must be in force everywhere within a [`Bound`]. A node cannot tell
-//! that it has missed one: a wait for changes may go silent without an error, and a peer that lives may
-//! read nothing. What it can tell is as of when it last knew everything; a [`Lease`] keeps that, and
-//! ends early enough for the node to read the platform itself within the bound. A node that reads
-//! through a peer gets the age of the peer's lease with each answer, counted from when it asked: how
-//! long that answer was on its way cannot make it look newer.
+//! A change that the platform accepted must be in force on all nodes within a [`StalenessBound`]. A
+//! node cannot detect that it missed a change: a long poll may go silent without an error, and a
+//! peer may be alive and yet read nothing. What a node does know is the last time at which it knew
+//! everything. A [`Lease`] keeps that time and expires early enough for the node to read the
+//! platform itself within the bound. A node that reads through a peer gets the age of the peer's
+//! lease with each response and counts it from the time of its request, so that a slow response
+//! never makes the data look newer than it is.
 //!
-//! The load pattern: few nodes of hundreds wait at the platform, and the rest hear of changes from them.
+//! Of hundreds of nodes, a few wait for changes at the platform and pass them on to the rest.
 
 use std::time::{Duration, Instant};
 
-/// Shortest bound that is kept to: below it, nodes would ask the platform and each other all the time.
-const BOUND_LEAST: Duration = Duration::from_secs(1);
+/// Shortest bound that can be met. Below it, nodes would query the platform and each other all the
+/// time.
+const MIN_BOUND: Duration = Duration::from_secs(1);
 
-/// Longest wait for changes: an answer that holds nothing is paid for like any other.
-const WAIT_MOST: Duration = Duration::from_secs(25);
+/// Maximum duration of a long poll. It is this long because an empty response costs as much as any
+/// other.
+const MAX_LONG_POLL_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Parts of a bound, in percent.
-const WAIT_PERCENT: u32 = 40;
-const PATIENCE_PERCENT: u32 = 20;
-const ASK_PERCENT: u32 = 12;
-const RELIED_ON_PERCENT: u32 = 80;
+/// Shares of a bound, in percent.
+const LONG_POLL_TIMEOUT_PERCENT: u32 = 40;
+const LONG_POLL_GRACE_PERCENT: u32 = 20;
+const PEER_QUERY_INTERVAL_PERCENT: u32 = 12;
+const LEASE_TTL_PERCENT: u32 = 80;
 
-/// Time within which a change that the platform took must be in force.
+/// Time within which a change that the platform accepted must be in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bound(Duration);
+pub struct StalenessBound(Duration);
 
-impl Bound {
-    /// Creates a bound; one shorter than a second counts as a second.
-    pub fn new(within: Duration) -> Bound {
-        Bound(within.max(BOUND_LEAST))
+impl StalenessBound {
+    /// Creates a bound; one shorter than a second is raised to a second.
+    pub fn new(within: Duration) -> StalenessBound {
+        StalenessBound(within.max(MIN_BOUND))
     }
 
     /// Returns how long one wait for changes at the platform may last.
-    pub fn wait(self) -> Duration {
-        self.percent(WAIT_PERCENT).min(WAIT_MOST)
+    pub fn long_poll_timeout(self) -> Duration {
+        self.percent(LONG_POLL_TIMEOUT_PERCENT).min(MAX_LONG_POLL_TIMEOUT)
     }
 
-    /// Returns for how long the answer of a wait may be late before the wait is given up.
-    pub fn patience(self) -> Duration {
-        self.percent(PATIENCE_PERCENT)
+    /// Returns how late the response of a long poll may be before the poll is given up.
+    pub fn long_poll_grace(self) -> Duration {
+        self.percent(LONG_POLL_GRACE_PERCENT)
     }
 
-    /// Returns how often a node that reads through a peer asks it as of when it knows everything.
-    pub fn ask_every(self) -> Duration {
-        self.percent(ASK_PERCENT)
+    /// Returns the interval at which a node that reads through a peer asks it for the age of its
+    /// lease.
+    pub fn peer_query_interval(self) -> Duration {
+        self.percent(PEER_QUERY_INTERVAL_PERCENT)
     }
 
-    /// Returns the age from which on what was read is no longer relied on. The rest of the bound is for
+    /// Returns the age at which data is no longer relied on. The rest of the bound is left for
     /// reading the platform.
-    pub fn relied_on(self) -> Duration {
-        self.percent(RELIED_ON_PERCENT)
+    pub fn lease_ttl(self) -> Duration {
+        self.percent(LEASE_TTL_PERCENT)
     }
 
-    /// Returns as of when an answer tells everything that came at `now` to a wait begun at `asked_at`.
+    /// Returns the time up to which a node knows everything after a long poll sent at
+    /// `requested_at` was answered at `now`.
     ///
-    /// An empty one says that nothing had changed by the end of the wait. Of another one only its
-    /// arrival is known; it was on its way for less than the patience, or the wait would have been
-    /// given up.
-    pub fn as_of(self, asked_at: Instant, now: Instant, is_empty: bool) -> Instant {
+    /// An empty response says that nothing had changed by the end of the poll. Of any other
+    /// response only the arrival is known. It was under way for less than the grace period, or the
+    /// poll would have been given up.
+    pub fn as_of(self, requested_at: Instant, now: Instant, is_empty: bool) -> Instant {
         let sent_at = match is_empty {
-            true => asked_at + self.wait(),
-            false => now.checked_sub(self.patience()).unwrap_or(asked_at),
+            true => requested_at + self.long_poll_timeout(),
+            false => now.checked_sub(self.long_poll_grace()).unwrap_or(requested_at),
         };
-        sent_at.clamp(asked_at, now.max(asked_at))
+        sent_at.clamp(requested_at, now.max(requested_at))
     }
 
     fn percent(self, percent: u32) -> Duration {
@@ -72,26 +77,27 @@
     }
 }
 
-/// As of when a node knows everything that the platform took.
+/// Time up to which a node knows everything that the platform accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
     as_of: Option<Instant>,
 }
 
 impl Lease {
-    /// Takes that everything up to `as_of` is known; an earlier moment than the one held changes nothing.
+    /// Records that everything up to `as_of` is known. A time before the recorded one has no
+    /// effect.
     pub fn renew(&mut self, as_of: Instant) {
         self.as_of = self.as_of.max(Some(as_of));
     }
 
-    /// Returns how long ago everything was known; `None` when that never was.
+    /// Returns how long ago everything was known, or `None` before the first renewal.
     pub fn age(self, now: Instant) -> Option<Duration> {
         Some(now.saturating_duration_since(self.as_of?))
     }
 
-    /// Returns true while what was read may be relied on.
-    pub fn is_valid(self, bound: Bound, now: Instant) -> bool {
-        self.age(now).is_some_and(|age| age < bound.relied_on())
+    /// Returns true while the data may be relied on.
+    pub fn is_valid(self, bound: StalenessBound, now: Instant) -> bool {
+        self.age(now).is_some_and(|age| age < bound.lease_ttl())
     }
 }
 
