--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -1,4 +1,4 @@
-//! Findings of validation: a message bound to the YAML path it concerns.
+//! Validation findings: messages about problems at a YAML path.
 
 use std::fmt;
 
@@ -16,15 +16,15 @@
 /// One problem found in a document, at a YAML path such as `teams.north.timeout_ms`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Dotted path from the document root; `$` for the root itself.
+    /// Dotted path from the document root, `$` for the root itself, or the line of a syntax error.
     pub path: SmolStr,
-    /// Plain-English description, naming the expected shape or unit.
+    /// Description of the problem that names the expected type, range or unit.
     pub message: SmolStr,
-    /// Whether the finding rejects the document.
+    /// Whether the document is rejected.
     pub severity: Severity,
 }
 
-/// Every finding of one document, in the order found.
+/// All findings of one document, in the order found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings(pub Vec<Finding>);
 
@@ -47,12 +47,12 @@
         });
     }
 
-    /// Returns true when any finding rejects the document.
+    /// Returns true when at least one finding is an error, so that the document is rejected.
     pub fn has_errors(&self) -> bool {
         self.0.iter().any(|finding| finding.severity == Severity::Error)
     }
 
-    /// Returns true when there are no findings at all.
+    /// Returns true when there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,15 +1,14 @@
 //! Node settings and service templates.
 //!
-//! Both are written in YAML. Parsing never stops at the first problem: every
-//! finding is collected with its YAML path (`teams.north.timeout_ms`) and the
-//! caller receives them together as a [`Findings`] list. A document with any
-//! finding of severity [`Severity::Error`] yields no value, so nothing half
-//! checked is ever written or applied.
+//! Both are YAML documents. Parsing does not stop at the first problem: it collects every finding
+//! with its YAML path (`teams.north.timeout_ms`) and returns them together as [`Findings`]. A
+//! document with a finding of severity [`Severity::Error`] yields no value, so that no partially
+//! checked settings are written or applied.
 
 mod findings;
 mod node;
 mod template;
-mod walk;
+mod yaml;
 
 pub use findings::{Finding, Findings, Severity};
 pub use node::NodeSettings;
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -1,7 +1,7 @@
-//! Settings of one entry node, read from its YAML file at start.
+//! Settings of an entry node, read from its YAML file at startup.
 //!
-//! A process learns its addresses and availability zone from these settings
-//! (the brief); nothing is discovered from the machine.
+//! The settings name the addresses and the availability zone of the process; nothing is discovered
+//! from the machine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,57 +10,60 @@
 use smol_str::SmolStr;
 
 use crate::findings::Findings;
-use crate::walk::{self, Fields};
+use crate::yaml::{self, Fields};
 
-/// Default of `entries_ttl_s`: short, so that a planned stop of an entry node is soon over.
+/// Default of `entries_ttl_s`: short, because a stopping entry node waits for its entries to
+/// expire.
 const DEFAULT_ENTRIES_TTL_S: u64 = 5;
 
-/// Longest `vm_poll_ms`: a node that has not read the VM list for 5 s does not
-/// probe, and one failed read must not be enough for that.
-const MAX_VM_POLL_MS: u64 = 2_000;
+/// Maximum `vm_poll_ms`. A node that has not read the VM list for 5 s does not probe, and a single
+/// failed read must not cause that.
+const MAX_VM_POLL_INTERVAL_MS: u64 = 2_000;
 
-/// Default of `probe_cap_per_s`: at about 250 bytes a probe, 5 of the 7 KB/s
-/// of control traffic that letter 1 allows a node.
-const DEFAULT_PROBE_CAP_PER_S: u64 = 20;
+/// Default of `probe_cap_per_s`. At about 250 bytes per probe it takes 5 of the 7 KB/s of control
+/// traffic that a node may use.
+const DEFAULT_MAX_PROBES_PER_S: u64 = 20;
 
-/// Default of `stop_grace_ms`: the default TTL and as much again for calls in flight.
+/// Default of `stop_grace_ms`: the default `entries_ttl_s` and the same time again for calls in
+/// flight.
 const DEFAULT_STOP_GRACE_MS: u64 = 10_000;
 
 /// Settings of one `oatcoved` process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// Stable name of this entry node, unique in the fleet.
+    /// Stable name of the entry node, unique in the fleet.
     pub node_id: SmolStr,
-    /// Availability zone of this entry VM.
+    /// Availability zone of the entry node's VM.
     pub zone: SmolStr,
-    /// Address where callers connect, for discovery answers and proxied calls.
+    /// Address that callers connect to for discovery and for proxied calls.
     pub listen_addr: SocketAddr,
-    /// Address of the platform's table service and VM list.
+    /// Address of the platform, which serves the configuration tables and the VM list.
     pub platform_addr: SocketAddr,
-    /// How often the node asks the table service for a newer config.
-    pub config_poll: Duration,
-    /// How often the node reads the VM list.
-    pub vm_poll: Duration,
-    /// How long callers may keep a discovery answer.
+    /// Interval at which the node reads configuration changes from the platform.
+    pub config_poll_interval: Duration,
+    /// Interval at which the node reads the VM list.
+    pub vm_poll_interval: Duration,
+    /// How long callers may cache a discovery response.
     pub entries_ttl: Duration,
-    /// Probes per second this node sends at most, over all services.
-    pub probe_cap_per_s: u32,
-    /// How long a stopping node waits for callers and calls in flight at most.
+    /// Maximum number of probes that the node sends per second, over all services.
+    pub max_probes_per_s: u32,
+    /// Maximum time that a stopping node waits for callers to leave and for calls in flight to end.
     pub stop_grace: Duration,
-    /// Entry nodes to ask for config when the platform does not answer at start.
+    /// Entry nodes to read the configuration from if the platform does not respond at startup.
     pub seed_addrs: Vec<SocketAddr>,
 }
 
 impl NodeSettings {
-    /// Parses and checks the settings file's text.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every finding together: unknown keys, missing keys, addresses
-    /// that do not parse as `ip:port`, durations out of range.
+    /// Returns all findings if any of them is an error: invalid YAML, unknown or missing keys,
+    /// wrong types, numbers out of range, addresses not of the form `ip:port`, an unspecified
+    /// listen address.
     pub fn parse(text: &str) -> Result<NodeSettings, Findings> {
         let mut findings = Findings::default();
-        let settings = walk::parse(text, &mut findings).and_then(|v| build(&v, &mut findings));
+        let settings = yaml::parse(text, &mut findings).and_then(|v| build(&v, &mut findings));
         match settings {
             Some(settings) if !findings.has_errors() => Ok(settings),
             _ => Err(findings),
@@ -79,9 +82,9 @@
     }
     let platform_addr = address(&mut fields, "platform_addr", findings);
     let config_poll_ms = fields.uint("config_poll_ms", 50..=60_000, findings);
-    let vm_poll_ms = fields.uint("vm_poll_ms", 50..=MAX_VM_POLL_MS, findings);
+    let vm_poll_ms = fields.uint("vm_poll_ms", 50..=MAX_VM_POLL_INTERVAL_MS, findings);
     let entries_ttl_s = fields.uint("entries_ttl_s", 1..=3_600, findings);
-    let probe_cap_per_s = fields.uint("probe_cap_per_s", 1..=10_000, findings);
+    let max_probes_per_s = fields.uint("probe_cap_per_s", 1..=10_000, findings);
     let stop_grace_ms = fields.uint("stop_grace_ms", 0..=600_000, findings);
     let seed_addrs = addresses(&mut fields, "seed_addrs", findings);
     fields.finish(findings);
@@ -90,10 +93,10 @@
         zone: zone?,
         listen_addr: listen_addr?,
         platform_addr: platform_addr?,
-        config_poll: Duration::from_millis(config_poll_ms?.unwrap_or(500)),
-        vm_poll: Duration::from_millis(vm_poll_ms?.unwrap_or(1_000)),
+        config_poll_interval: Duration::from_millis(config_poll_ms?.unwrap_or(500)),
+        vm_poll_interval: Duration::from_millis(vm_poll_ms?.unwrap_or(1_000)),
         entries_ttl: Duration::from_secs(entries_ttl_s?.unwrap_or(DEFAULT_ENTRIES_TTL_S)),
-        probe_cap_per_s: probe_cap_per_s?.unwrap_or(DEFAULT_PROBE_CAP_PER_S) as u32,
+        max_probes_per_s: max_probes_per_s?.unwrap_or(DEFAULT_MAX_PROBES_PER_S) as u32,
         stop_grace: Duration::from_millis(stop_grace_ms?.unwrap_or(DEFAULT_STOP_GRACE_MS)),
         seed_addrs: seed_addrs?,
     })
@@ -105,17 +108,17 @@
     findings: &mut Findings,
 ) -> Option<SocketAddr> {
     let text = fields.string(key, findings)?;
-    parse_address(&text, &walk::join(fields.path(), key), findings)
+    parse_address(&text, &yaml::join(fields.path(), key), findings)
 }
 
-/// Reads an optional list of addresses; absent means none.
+/// Reads an optional list of addresses, which is empty when the key is missing.
 fn addresses(
     fields: &mut Fields<'_>,
     key: &'static str,
     findings: &mut Findings,
 ) -> Option<Vec<SocketAddr>> {
     let texts = fields.strings(key, findings)?.unwrap_or_default();
-    let path = walk::join(fields.path(), key);
+    let path = yaml::join(fields.path(), key);
     let parsed: Vec<Option<SocketAddr>> = texts
         .iter()
         .enumerate()
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -1,9 +1,8 @@
-//! Service templates: one per service, with parameters for each team.
+//! Service templates: the parameters of one service, for each of its teams.
 //!
-//! A template's YAML text is what the operator wrote and what the platform's
-//! table service stores; [`Template::parse`] turns it into resolved
-//! parameters, one [`Params`] per team, where each team's keys override the
-//! template's `defaults` and those override the built-in defaults.
+//! Operators write a template as YAML, and the platform stores that text. [`Template::parse`]
+//! resolves it to one [`Params`] per team: the keys of a team override the template's `defaults`,
+//! which override the built-in defaults.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,26 +11,27 @@
 use smol_str::SmolStr;
 
 use crate::findings::Findings;
-use crate::walk::{self, Fields};
+use crate::yaml::{self, Fields};
 
-/// Name of a service, and so of its template (`swap-desk`).
+/// Name of a service and of its template, such as `swap-desk`.
 pub type TemplateName = SmolStr;
 
-/// Name of a team, a customer of a service (`garden-north`).
+/// Name of a team that calls a service, such as `garden-north`.
 pub type TeamName = SmolStr;
 
-/// Longest accepted service or team name, in bytes.
+/// Maximum length of a service or team name, in bytes.
 const MAX_NAME_BYTES: usize = 63;
 
-/// How an upstream is picked for a call.
+/// Policy by which an upstream is picked for a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Balance {
-    /// By expected cost; the one to use.
+    /// Picks by expected cost; the recommended policy.
     #[default]
     Adaptive,
-    /// Each in turn; a baseline for measurements.
+    /// Picks each upstream in turn. A baseline for benchmarks.
     RoundRobin,
-    /// The fewest calls outstanding from the entry node; a baseline for measurements.
+    /// Picks the upstream with the fewest calls outstanding from the entry node. A baseline for
+    /// benchmarks.
     LeastOutstanding,
 }
 
@@ -47,28 +47,30 @@
     }
 }
 
-/// Resolved parameters for requests of one team to one service.
+/// Resolved parameters for the calls of one team to one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Params {
-    /// Deadline of a whole call through the entry node, retries included.
+    /// Timeout of a whole call through the entry node, retries included, in milliseconds.
     pub timeout_ms: u64,
-    /// Attempts per call, first included; applies to idempotent calls only.
+    /// Maximum number of attempts per idempotent call, the first included.
     pub max_attempts: u64,
-    /// Retries allowed as a share of first attempts, over a sliding window.
+    /// Maximum ratio of retries to first attempts over a sliding window, in percent.
     pub retry_budget_percent: u64,
-    /// Probes per second to this service's upstreams, for all entry nodes together.
+    /// Probes per second to the upstreams of the service, by all entry nodes together.
     pub probe_budget_per_s: u64,
-    /// Connections an upstream takes from all entry nodes together; each node keeps to its share.
+    /// Maximum number of connections that all entry nodes together open to one upstream. Each node
+    /// is limited to its share.
     pub connections_per_upstream: u64,
-    /// Path of the request that asks an upstream whether it is well; read from `defaults` only.
+    /// Path of the health probe requests to upstreams; only the value in `defaults` is used.
     pub probe_path: SmolStr,
-    /// Whether upstreams in the entry node's own zone are preferred.
+    /// Whether upstreams in the entry node's zone are preferred.
     pub zone_affinity: bool,
-    /// How an upstream is picked.
+    /// Policy by which an upstream is picked.
     pub balance: Balance,
-    /// Whether an idempotent call that takes unusually long is sent to a second upstream beside.
+    /// Whether an idempotent call that takes unusually long is also sent to a second upstream.
     pub hedge: bool,
-    /// HTTP methods safe to retry; every other method is sent at most once.
+    /// HTTP methods of idempotent calls, which may be retried. Calls with any other method are sent
+    /// at most once.
     pub idempotent_methods: Vec<SmolStr>,
 }
 
@@ -89,35 +91,34 @@
     }
 }
 
-/// A checked service template.
+/// A validated service template.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Template {
-    /// The service this template configures.
+    /// The service that the template configures.
     pub service: TemplateName,
-    /// Parameters for callers that name no team, or a team not listed.
+    /// Parameters for callers that name no team or an unlisted one.
     pub defaults: Rc<Params>,
-    /// Parameters per team, already resolved over `defaults`.
+    /// Parameters of each team, resolved over `defaults`.
     pub teams: BTreeMap<TeamName, Rc<Params>>,
 }
 
 impl Template {
-    /// Parses and checks a template's YAML text.
+    /// Parses and validates the YAML text of a template.
     ///
     /// # Errors
     ///
-    /// Returns every finding together when any of them is an error: syntax,
-    /// unknown keys (with a hint where only the unit suffix differs), wrong
-    /// types, values out of range, bad names.
+    /// Returns all findings if any of them is an error: invalid YAML, unknown keys (with a hint if
+    /// only the unit suffix differs), wrong types, numbers out of range, invalid names.
     pub fn parse(text: &str) -> Result<Template, Findings> {
         let mut findings = Findings::default();
-        let template = walk::parse(text, &mut findings).and_then(|v| build(&v, &mut findings));
+        let template = yaml::parse(text, &mut findings).and_then(|v| build(&v, &mut findings));
         match template {
             Some(template) if !findings.has_errors() => Ok(template),
             _ => Err(findings),
         }
     }
 
-    /// Returns the parameters for `team`, or the defaults when the team is not listed.
+    /// Returns the parameters of `team`, or the defaults if `team` is `None` or not listed.
     pub fn params(&self, team: Option<&str>) -> &Rc<Params> {
         match team.and_then(|name| self.teams.get(name)) {
             Some(params) => params,
@@ -137,8 +138,8 @@
         None => Some(Params::default()),
     };
     let mut teams = BTreeMap::new();
-    // Teams are checked over bad defaults too: an operator who mends those would only then be
-    // told of what is wrong with the teams.
+    // Teams are validated even if the defaults are invalid. Otherwise an operator would see the
+    // errors of the teams only after correcting the defaults.
     let base = defaults.clone().unwrap_or_default();
     match fields.raw("teams") {
         None => {}
@@ -148,7 +149,7 @@
                     findings.error("teams", "team names must be strings");
                     continue;
                 };
-                let path = walk::join("teams", team);
+                let path = yaml::join("teams", team);
                 check_name(&path, team, findings);
                 if let Some(resolved) = params(value, &path, &base, findings) {
                     teams.insert(TeamName::from(team.as_str()), Rc::new(resolved));
@@ -158,7 +159,7 @@
         Some(other) => {
             findings.error(
                 "teams",
-                format!("expected a mapping of team names, found {}", walk::kind(other)),
+                format!("expected a mapping of team names, found {}", yaml::kind(other)),
             );
         }
     }
@@ -166,7 +167,7 @@
     Some(Template { service: service?, defaults: Rc::new(defaults?), teams })
 }
 
-/// Reads one parameter mapping at `path`, each key overriding `base`.
+/// Reads the parameter mapping at `path`, whose keys override `base`.
 fn params(value: &Value, path: &str, base: &Params, findings: &mut Findings) -> Option<Params> {
     let mut fields = Fields::new(value, path, findings);
     let timeout_ms = fields.uint("timeout_ms", 1..=60_000, findings);
@@ -177,7 +178,7 @@
     let probe_path = fields.optional_string("probe_path", findings);
     match &probe_path {
         Some(Some(path)) if !is_path(path) => findings.error(
-            &walk::join(fields.path(), "probe_path"),
+            &yaml::join(fields.path(), "probe_path"),
             format!("{path:?} is not a path: it must start with / and hold no spaces"),
         ),
         _ => {}
@@ -217,7 +218,7 @@
     let parsed = Balance::parse(&text);
     if parsed.is_none() {
         let names: Vec<&str> = Balance::NAMES.iter().map(|(name, _)| *name).collect();
-        let path = walk::join(fields.path(), "balance");
+        let path = yaml::join(fields.path(), "balance");
         findings.error(&path, format!("{text:?} is not one of {}", names.join(", ")));
     }
     parsed.map(Some)
@@ -227,7 +228,8 @@
     text.starts_with('/') && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
-/// Checks that a name is short lowercase ASCII with dashes, fit for paths and keys.
+/// Checks that a name is short and consists of lowercase ASCII letters, digits and dashes, so that
+/// it can be part of URL paths and table keys.
 fn check_name(path: &str, name: &str, findings: &mut Findings) {
     let valid = !name.is_empty()
         && name.len() <= MAX_NAME_BYTES
--- a/crates/config/src/template/tests.rs
+++ b/crates/config/src/template/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::{Severity, Template};
 
-const GOOD: &str = "
+const VALID: &str = "
 service: swap-desk
 defaults:
   timeout_ms: 800
@@ -14,18 +14,17 @@
 
 #[test]
 fn team_overrides_defaults() {
-    let template = Template::parse(GOOD).expect("valid template");
+    let template = Template::parse(VALID).expect("valid template");
     assert_eq!(template.params(Some("garden-north")).timeout_ms, 300);
     assert_eq!(template.params(Some("garden-north")).max_attempts, 1);
     assert_eq!(template.params(Some("unknown-team")).timeout_ms, 800);
     assert_eq!(template.params(None).max_attempts, 2);
 }
 
-/// Symptom: an operator fixes one typo, applies, and is told of the next one.
-/// Sequence: a template with three mistakes in different places is checked.
-/// Cause: validation that stops at the first error; all three must come back at once.
+/// Guards against validation that stops at the first error, so that an operator who corrects one
+/// mistake is shown the next.
 #[test]
-fn every_finding_is_reported_together() {
+fn all_findings_are_reported_together() {
     let text = "
 service: Swap Desk
 defaults:
@@ -47,26 +46,25 @@
     missing_service = { "defaults:\n  timeout_ms: 5\n", "service" },
     not_idempotent = { "service: a\ndefaults:\n  idempotent_methods: [GET, POST]\n", "defaults.idempotent_methods[1]" },
     unknown_root_key = { "service: a\nupstream: x\n", "upstream" },
-    bad_balance = { "service: a\ndefaults:\n  balance: random\n", "defaults.balance" },
-    bad_probe_path = { "service: a\ndefaults:\n  probe_path: load\n", "defaults.probe_path" },
+    invalid_balance = { "service: a\ndefaults:\n  balance: random\n", "defaults.balance" },
+    invalid_probe_path = { "service: a\ndefaults:\n  probe_path: load\n", "defaults.probe_path" },
     teams_not_map = { "service: a\nteams: [a]\n", "teams" },
 )]
-fn bad_input_names_its_path(text: &str, path: &str) {
+fn invalid_input_is_reported_with_its_path(text: &str, path: &str) {
     let findings = Template::parse(text).expect_err("rejected");
     assert!(findings.0.iter().any(|f| f.path == path), "{findings}");
 }
 
 #[test]
-fn syntax_error_names_the_line() {
+fn syntax_errors_are_reported_with_their_line() {
     let findings = Template::parse("service: [a\n").expect_err("rejected");
     assert!(findings.0[0].path.starts_with("line "), "{findings}");
 }
 
-/// Symptom: an operator mends four findings and is then told of two more.
-/// Sequence: `defaults` and `teams` both hold mistakes.
-/// Cause: teams left unchecked because there are no sound defaults to resolve them over.
+/// Guards against leaving teams unchecked when there are no valid defaults to resolve them over, so
+/// that an operator who corrects the defaults is shown further findings.
 #[test]
-fn teams_are_checked_although_the_defaults_are_bad() {
+fn teams_are_validated_even_if_the_defaults_are_invalid() {
     let text = "service: 5\ndefaults: {timeout_ms: x}\nteams: {north: {hedge: 3}, south: [1]}\n";
     let findings = Template::parse(text).expect_err("refused").to_string();
     for path in ["service", "defaults.timeout_ms", "teams.north.hedge", "teams.south"] {
--- a/crates/config/src/walk.rs
+++ b/crates/config/src/yaml.rs
@@ -1,9 +1,8 @@
-//! A checked walk over one YAML mapping.
+//! Typed access to YAML mappings that collects findings instead of failing at the first one.
 //!
-//! [`Fields`] takes the keys a type knows, one by one, and records a finding
-//! for each wrong type, each value out of range and, at [`Fields::finish`],
-//! each key nobody asked for. Typed values come back as `Option`: `None`
-//! means a finding was recorded and the caller goes on collecting.
+//! [`Fields`] reads the known keys of a mapping one by one. It records a finding for each value of
+//! a wrong type or out of range and, in [`Fields::finish`], for each unknown key. Its typed methods
+//! return `None` if they recorded a finding, so that the caller can go on with the next key.
 
 use std::ops::RangeInclusive;
 
@@ -12,10 +11,10 @@
 
 use crate::findings::Findings;
 
-/// Unit suffixes the house style puts on field names.
+/// Suffixes of key names that tell the unit or type of the value.
 const UNIT_SUFFIXES: &[&str] = &["_ms", "_s", "_per_s", "_percent", "_bytes", "_addr"];
 
-/// Joins a parent path and a key into a dotted YAML path.
+/// Joins a parent path and a key to a dotted YAML path.
 pub(crate) fn join(parent: &str, key: &str) -> SmolStr {
     match parent {
         "$" => key.into(),
@@ -23,15 +22,16 @@
     }
 }
 
-/// The keys of one mapping, taken as the walk asks for them.
+/// The keys of one mapping, and which of them are known.
 pub(crate) struct Fields<'a> {
     path: SmolStr,
     map: Option<&'a Mapping>,
-    taken: Vec<&'a str>,
+    known_keys: Vec<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Starts a walk at `path`; records an error when `value` is not a mapping.
+    /// Wraps the mapping at `path`. Null counts as an empty mapping; any other value that is not a
+    /// mapping is recorded as an error.
     pub(crate) fn new(value: &'a Value, path: &str, findings: &mut Findings) -> Self {
         let map = match value {
             Value::Mapping(map) => Some(map),
@@ -41,21 +41,21 @@
                 None
             }
         };
-        Fields { path: path.into(), map, taken: Vec::new() }
+        Fields { path: path.into(), map, known_keys: Vec::new() }
     }
 
-    /// Returns the YAML path of this mapping.
+    /// Returns the YAML path of the mapping.
     pub(crate) fn path(&self) -> &str {
         &self.path
     }
 
-    /// Returns the raw value at `key`, marking the key as known.
+    /// Returns the untyped value of `key` and marks the key as known.
     pub(crate) fn raw(&mut self, key: &'static str) -> Option<&'a Value> {
-        self.taken.push(key);
+        self.known_keys.push(key);
         self.map?.get(key)
     }
 
-    /// Takes a required string; records an error when missing or not a string.
+    /// Reads a required string, which must not be empty.
     pub(crate) fn string(&mut self, key: &'static str, findings: &mut Findings) -> Option<SmolStr> {
         let path = join(&self.path, key);
         match self.raw(key) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes an optional non-empty string.
+    /// Reads an optional string, which must not be empty.
     pub(crate) fn optional_string(
         &mut self,
         key: &'static str,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes an optional whole number within `range`.
+    /// Reads an optional whole number within `range`.
     pub(crate) fn uint(
         &mut self,
         key: &'static str,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Takes an optional boolean.
+    /// Reads an optional boolean.
     pub(crate) fn boolean(
         &mut self,
         key: &'static str,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Takes an optional sequence of strings.
+    /// Reads an optional sequence of strings.
     pub(crate) fn strings(
         &mut self,
         key: &'static str,
@@ -175,14 +175,14 @@
         }
     }
 
-    /// Records an error for every key that no `take` asked for.
+    /// Records an error for every key that was not read.
     pub(crate) fn finish(self, findings: &mut Findings) {
         let Some(map) = self.map else { return };
         for key in map.keys() {
             match key {
-                Value::String(name) if self.taken.contains(&name.as_str()) => {}
+                Value::String(name) if self.known_keys.contains(&name.as_str()) => {}
                 Value::String(name) => {
-                    let hint = unit_hint(name, &self.taken);
+                    let hint = unit_hint(name, &self.known_keys);
                     findings.error(&join(&self.path, name), format!("unknown key{hint}"));
                 }
                 other => findings
@@ -192,7 +192,7 @@
     }
 }
 
-/// Suggests the known key that differs only by its unit suffix.
+/// Returns a hint at the known key that differs only in its unit suffix; empty if there is none.
 fn unit_hint(name: &str, known: &[&str]) -> String {
     let base = UNIT_SUFFIXES.iter().find_map(|suffix| name.strip_suffix(suffix)).unwrap_or(name);
     known
@@ -204,7 +204,7 @@
         .unwrap_or_default()
 }
 
-/// Names the YAML kind of a value for messages.
+/// Returns the type of a value, as named in messages.
 pub(crate) fn kind(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
@@ -217,7 +217,7 @@
     }
 }
 
-/// Parses YAML text into a value, turning a syntax error into a finding at its line.
+/// Parses YAML text. A syntax error is recorded as a finding at its line.
 pub(crate) fn parse(text: &str, findings: &mut Findings) -> Option<Value> {
     match serde_yaml_ng::from_str::<Value>(text) {
         Ok(value) => Some(value),
--- a/crates/oatcoved/src/main.rs
+++ b/crates/oatcoved/src/main.rs
@@ -77,7 +77,7 @@
     );
     let store = Rc::new(store::Store::new(settings.platform_addr));
     let vm_store = Rc::new(store::Store::new(settings.platform_addr));
-    let (config_poll, vm_poll) = (settings.config_poll, settings.vm_poll);
+    let (config_poll, vm_poll) = (settings.config_poll_interval, settings.vm_poll_interval);
     let view = Rc::new(RefCell::new(oatcoved::view::View::new(settings)));
     let (gossip, gossip_inputs) = unbounded::channel();
     let (probe, probe_inputs) = unbounded::channel();
--- a/crates/oatcoved/src/probe.rs
+++ b/crates/oatcoved/src/probe.rs
@@ -58,7 +58,7 @@
     let mut watch = {
         let settings = &view.borrow().settings;
         let rules =
-            watch::Rules { node_cap_per_s: settings.probe_cap_per_s, ..watch::Rules::default() };
+            watch::Rules { node_cap_per_s: settings.max_probes_per_s, ..watch::Rules::default() };
         watch::Watch::new(settings.listen_addr, rules)
     };
     let mut idle = std::collections::HashMap::new();
--- a/crates/oatcoved/src/test_support.rs
+++ b/crates/oatcoved/src/test_support.rs
@@ -11,10 +11,10 @@
         zone: "z-0".into(),
         listen_addr: "127.0.0.1:7100".parse().expect("address"),
         platform_addr: "127.0.0.1:7000".parse().expect("address"),
-        config_poll: Duration::from_millis(100),
-        vm_poll: Duration::from_millis(100),
+        config_poll_interval: Duration::from_millis(100),
+        vm_poll_interval: Duration::from_millis(100),
         entries_ttl: Duration::from_secs(30),
-        probe_cap_per_s: 20,
+        max_probes_per_s: 20,
         stop_grace: Duration::from_secs(10),
         seed_addrs: Vec::new(),
     };
--- a/crates/quarantine/src/ledger/tests.rs
+++ b/crates/quarantine/src/ledger/tests.rs
@@ -326,7 +326,7 @@
         node: usize,
         upstream: u64,
     },
-    Answer {
+    Respond {
         node: usize,
     },
     Lift {
@@ -342,7 +342,7 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..3usize, 0..8u64).prop_map(|(node, upstream)| Step::Crash { node, upstream }),
-        1 => (0..3usize).prop_map(|node| Step::Answer { node }),
+        1 => (0..3usize).prop_map(|node| Step::Respond { node }),
         1 => (0..3usize).prop_map(|node| Step::Lift { node }),
         4 => (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Sync { from, to }),
     ]
@@ -358,7 +358,7 @@
         for step in steps {
             match step {
                 Step::Crash { node, upstream } => drop(crash(&mut nodes[node], "a", upstream)),
-                Step::Answer { node } => drop(nodes[node].record_response(content("a"), NOW)),
+                Step::Respond { node } => drop(nodes[node].record_response(content("a"), NOW)),
                 Step::Lift { node } => drop(nodes[node].clear(content("a"), NOW)),
                 Step::Sync { from, to } => {
                     let sent = nodes[from].sync_findings();
