--- a/crates/edge/src/forward/held.rs
+++ b/crates/edge/src/forward/held.rs
@@ -108,7 +108,7 @@
         if self.state.borrow().quarantine.is_empty() {
             return;
         }
-        let was_held = self.state.borrow().quarantine.is_held(call.content());
+        let was_held = self.state.borrow().quarantine.is_quarantined(call.content());
         if self.state.borrow_mut().quarantine.record_response(call.content(), unix_ms()) {
             if was_held {
                 log_cleared(call.content(), "an answer");
@@ -120,10 +120,10 @@
     /// Takes what `teller` knows of a request.
     pub(crate) fn hear_finding(&self, finding: &Finding, teller: &'static str) {
         let content = finding.content;
-        let was_held = self.state.borrow().quarantine.is_held(content);
+        let was_held = self.state.borrow().quarantine.is_quarantined(content);
         let news = self.state.borrow_mut().quarantine.merge_remote(finding, unix_ms());
         let Some(known) = news else { return };
-        let is_held = self.state.borrow().quarantine.is_held(content);
+        let is_held = self.state.borrow().quarantine.is_quarantined(content);
         match (was_held, is_held) {
             (false, true) => log_held(&known, teller),
             (true, false) => log_cleared(content, teller),
--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -132,9 +132,9 @@
         let is_due = |finding: &&Finding| match self.rows.get(&finding.content) {
             Some(kept) => {
                 let kept = &kept.hold.finding;
-                kept.epoch < finding.epoch || kept.is_held() != finding.is_held()
+                kept.epoch < finding.epoch || kept.is_quarantined() != finding.is_quarantined()
             }
-            None => state.quarantine.is_held(finding.content),
+            None => state.quarantine.is_quarantined(finding.content),
         };
         let finding = state.quarantine.all().find(is_due)?.clone();
         let over = self.rows.get(&finding.content).map_or(0, |kept| kept.written_at);
@@ -177,7 +177,7 @@
             let state = node.state.borrow();
             is_outdated |=
                 std::mem::replace(&mut times_gone_back, state.times_gone_back) < times_gone_back;
-            let holds_any = state.quarantine.held().next().is_some();
+            let holds_any = state.quarantine.quarantined().next().is_some();
             let knows_any = holds_any || state.quarantine.all().any(|finding| finding.epoch > 0);
             let is_keeper = is_keeper(&state);
             let must_read = match is_outdated {
@@ -230,7 +230,7 @@
         if written {
             trace::Line::new("hold_kept")
                 .field("content", hold.finding.content)
-                .field("held", hold.finding.is_held())
+                .field("held", hold.finding.is_quarantined())
                 .log();
             // Which change wrote it is not known: to write it again, it is read again.
             let (content, written_at) = (hold.finding.content, Cursor::MAX);
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -110,7 +110,7 @@
         self.upstreams.record(state.roster.len() as u64, &[]);
         self.peers_alive.record(alive.count() as u64, &[]);
         self.store_away.record(u64::from(state.roster.store_is_away()), &[]);
-        self.held_back.record(state.quarantine.held().count() as u64, &[]);
+        self.held_back.record(state.quarantine.quarantined().count() as u64, &[]);
         let now = Instant::now();
         let unsure = |topic| u64::from(!state.is_sure(topic, now));
         self.config_unsure.record(unsure(Topic::Config), &[]);
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -228,7 +228,7 @@
         // News is not told any more by then.
         monoio::time::sleep(ms(6_000)).await;
         let late = cluster.join_another();
-        let knows = || late.state.borrow().quarantine.held().count() == 1;
+        let knows = || late.state.borrow().quarantine.quarantined().count() == 1;
         until("it is told", ms(3_000), knows).await;
     });
 }
@@ -480,7 +480,7 @@
             let known = other.version(content);
             other.record_crash(content, known, Start::of("u", n), crate::unix_ms());
         }
-        let finding = other.held().next().expect("it is held back").clone();
+        let finding = other.quarantined().next().expect("it is held back").clone();
         node.hear_finding(&finding, "a peer");
         let heard_at = Instant::now();
         let got = caller.read().await.expect("an answer");
--- a/crates/edge/src/tests/crashing.rs
+++ b/crates/edge/src/tests/crashing.rs
@@ -233,7 +233,7 @@
 
     /// Returns true when each node holds back so many requests.
     pub fn all_hold_back(&self, count: usize) -> bool {
-        let held = |node: &Rc<Node>| node.state.borrow().quarantine.held().count();
+        let held = |node: &Rc<Node>| node.state.borrow().quarantine.quarantined().count();
         self.nodes.iter().all(|node| held(node) == count)
     }
 
--- a/crates/member/src/tests/findings.rs
+++ b/crates/member/src/tests/findings.rs
@@ -32,7 +32,7 @@
 
     /// Returns how many running nodes hold back `count` requests.
     fn holding(&self, count: usize) -> usize {
-        let holds = |node: &&Node| node.running && node.ledger.held().count() == count;
+        let holds = |node: &&Node| node.running && node.ledger.quarantined().count() == count;
         self.nodes.iter().filter(holds).count()
     }
 }
@@ -70,7 +70,7 @@
     net.crash_three(1);
     net.crash_three(2);
     net.run(Duration::from_secs(20));
-    assert_eq!(net.nodes[15].ledger.held().count(), 0);
+    assert_eq!(net.nodes[15].ledger.quarantined().count(), 0);
     net.cut.clear();
     net.nodes[15].paused = false;
     if !net.nodes[15].running {
--- a/crates/quarantine/src/finding.rs
+++ b/crates/quarantine/src/finding.rs
@@ -7,20 +7,20 @@
 
 use crate::{ContentKey, Start, UnixMs};
 
-/// A request is held from this many consecutive crashes and this many crashed upstreams on.
+/// A request is quarantined from this many consecutive crashes and this many crashed upstreams on.
 ///
 /// When all upstreams of a zone end at once, several of them run copies of a popular request: these
 /// count as one in a sequence of crashes, however many upstreams ended. A second crash in the
 /// sequence, of a copy sent when the first crash was known, is no such coincidence. Three upstreams
 /// are the most that the users accept to lose before the request is kept from the rest. With fewer
 /// upstreams, which restart under the same key, a third consecutive crash is evidence enough.
-const MIN_HOLD_WAVES: u8 = 2;
-const MIN_HOLD_CRASHED: usize = 3;
-const MIN_HOLD_WAVES_ALONE: u8 = 3;
+const MIN_QUARANTINE_WAVES: u8 = 2;
+const MIN_QUARANTINE_CRASHED: usize = 3;
+const MIN_QUARANTINE_WAVES_ALONE: u8 = 3;
 
 /// Maximum number of crashed upstreams listed in a finding, more than one request crashes before
-/// all nodes hold it. If some were left out, a harmless request that ran there too would seem to
-/// have crashed them alone.
+/// all nodes quarantine it. If some were left out, a harmless request that ran there too would seem
+/// to have crashed them alone.
 pub(crate) const MAX_CRASHED: usize = 8;
 
 /// What is known of one request that crashed upstreams.
@@ -37,7 +37,7 @@
     pub waves: u8,
     /// Upstreams that crashed while they ran the request, sorted, at most [`MAX_CRASHED`].
     pub crashed: Vec<Start>,
-    /// When the finding expires. A held request may be tried again then.
+    /// When the finding expires. A quarantined request may be tried again then.
     pub until_unix_ms: UnixMs,
 }
 
@@ -48,13 +48,14 @@
     }
 
     /// Returns true when the crashes are enough to keep the request from upstreams.
-    pub fn is_held(&self) -> bool {
-        let on_several = self.waves >= MIN_HOLD_WAVES && self.crashed.len() >= MIN_HOLD_CRASHED;
-        on_several || self.waves >= MIN_HOLD_WAVES_ALONE
+    pub fn is_quarantined(&self) -> bool {
+        let on_several =
+            self.waves >= MIN_QUARANTINE_WAVES && self.crashed.len() >= MIN_QUARANTINE_CRASHED;
+        on_several || self.waves >= MIN_QUARANTINE_WAVES_ALONE
     }
 
-    /// Returns true when this request is held, crashed every upstream that crashed under `other`,
-    /// and has the stronger evidence against it.
+    /// Returns true when this request is quarantined, crashed every upstream that crashed under
+    /// `other`, and has the stronger evidence against it.
     ///
     /// Two nodes may send a harmless request and a crashing one to the same upstream, by chance and
     /// more than once. There is then no evidence against the harmless request alone. If two
@@ -63,7 +64,7 @@
     /// evidence the stronger, tells which of them is the cause.
     pub(crate) fn explains(&self, other: &Finding) -> bool {
         let evidence = |finding: &Finding| (finding.waves, finding.crashed.len(), finding.content);
-        self.is_held()
+        self.is_quarantined()
             && evidence(self) > evidence(other)
             && other.crashed.iter().all(|start| self.crashed.contains(start))
     }
--- a/crates/quarantine/src/finding/tests.rs
+++ b/crates/quarantine/src/finding/tests.rs
@@ -31,7 +31,7 @@
 }
 
 proptest! {
-    /// Guards against nodes that never agree whether a request is held: findings arrive in a
+    /// Guards against nodes that never agree whether a request is quarantined: findings arrive in a
     /// different order at each node, some twice, so the result must not depend on order or
     /// repetition.
     #[test]
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -8,17 +8,18 @@
 use crate::finding::Finding;
 use crate::{ContentKey, Reservations, Start, UnixMs};
 
-/// How long crashes count against a request that is not held, and how long a clearance is
+/// How long crashes count against a request that is not quarantined, and how long a clearance is
 /// remembered. Some callers retry after half an hour; a harmless request is cleared by its next
 /// response.
 pub const SUSPICION_TTL: Duration = Duration::from_secs(3_600);
 
-/// How long a request is held: the first time, and at most. The time doubles with each later trial
-/// that crashed another upstream. An operator lifts the hold of a request that was fixed meanwhile.
-const MIN_HOLD_TTL: Duration = Duration::from_secs(3_600);
-const MAX_HOLD_TTL: Duration = Duration::from_secs(24 * 3_600);
+/// How long a request is quarantined: the first time, and at most. The time doubles with each later
+/// trial that crashed another upstream. An operator lifts the quarantine of a request that was
+/// fixed meanwhile.
+const MIN_QUARANTINE_TTL: Duration = Duration::from_secs(3_600);
+const MAX_QUARANTINE_TTL: Duration = Duration::from_secs(24 * 3_600);
 
-/// Delay from the hold of a request to its first trial. A request that ran at three crashing
+/// Delay from the quarantine of a request to its first trial. A request that ran at three crashing
 /// upstreams by coincidence is served again after this time; any other costs one more upstream.
 const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(120);
 
@@ -26,8 +27,8 @@
 /// beyond them was caused by a later trial.
 const MAX_WAVES_BEFORE_TRIAL: u8 = 3;
 
-/// How long a request whose hold is over is remembered if no caller sends it.
-const EXPIRED_HOLD_TTL: Duration = Duration::from_secs(24 * 3_600);
+/// How long a request whose quarantine is over is remembered if no caller sends it.
+const EXPIRED_QUARANTINE_TTL: Duration = Duration::from_secs(24 * 3_600);
 
 /// Retry delay for a caller whose request has another copy under way at this node.
 const CONCURRENT_COPY_RETRY_DELAY: Duration = Duration::from_millis(250);
@@ -67,7 +68,7 @@
 const MAX_SYNC_FINDINGS: usize = 64;
 
 /// Maximum number of requests on record, about 60 kB. When a client crashes upstreams with ever new
-/// requests, those with a single crash are evicted, held ones are not.
+/// requests, those with a single crash are evicted, quarantined ones are not.
 const MAX_ENTRIES: usize = 512;
 
 /// How a request is handled.
@@ -115,7 +116,7 @@
     /// Copies of suspected requests under way, by request and by upstream.
     attempts_by_content: HashMap<ContentKey, u32>,
     attempts_by_start: HashMap<Start, u32>,
-    /// Requests that got a response recently.
+    /// Requests that got a response recently. Callers record none while no request is on record.
     recent_responses: VecDeque<(ContentKey, UnixMs)>,
     /// Findings to be announced to other nodes.
     new_findings: Vec<NewFinding>,
@@ -131,8 +132,8 @@
 
     /// Returns how a request is to be handled.
     ///
-    /// `may_try` tells whether this node is the one of the fleet that tries a held request again.
-    /// It is called only for a request that is due for a trial.
+    /// `may_try` tells whether this node is the one of the fleet that tries a quarantined request
+    /// again. It is called only for a request that is due for a trial.
     pub fn decide(
         &self,
         content: ContentKey,
@@ -143,10 +144,10 @@
         let is_under_way = self.attempts_by_content.contains_key(&content);
         let left = Duration::from_millis(finding.until_unix_ms.saturating_sub(now));
         let until_trial = match finding.waves <= MAX_WAVES_BEFORE_TRIAL {
-            true => left.saturating_sub(MIN_HOLD_TTL - FIRST_TRIAL_DELAY),
+            true => left.saturating_sub(MIN_QUARANTINE_TTL - FIRST_TRIAL_DELAY),
             false => left,
         };
-        match self.is_hold_in_effect(finding) {
+        match self.is_quarantine_in_effect(finding) {
             _ if finding.is_clear() => Decision::Allow,
             true if !until_trial.is_zero() => Decision::Reject(until_trial),
             true if !may_try() => Decision::Reject(OTHER_NODE_TRIAL_RETRY_DELAY),
@@ -156,15 +157,16 @@
         }
     }
 
-    /// Returns true for a request that is held.
-    pub fn is_held(&self, content: ContentKey) -> bool {
-        self.table.get(&content).is_some_and(|entry| self.is_hold_in_effect(&entry.finding))
+    /// Returns true for a request that is quarantined.
+    pub fn is_quarantined(&self, content: ContentKey) -> bool {
+        self.table.get(&content).is_some_and(|entry| self.is_quarantine_in_effect(&entry.finding))
     }
 
-    /// Returns true when `finding` holds its request and no other finding explains its crashes.
-    fn is_hold_in_effect(&self, finding: &Finding) -> bool {
+    /// Returns true when `finding` quarantines its request and no other finding explains its
+    /// crashes.
+    fn is_quarantine_in_effect(&self, finding: &Finding) -> bool {
         let is_explanation = |other: &Finding| other.explains(finding);
-        finding.is_held() && !self.all().any(is_explanation)
+        finding.is_quarantined() && !self.all().any(is_explanation)
     }
 
     /// Returns true for a request with several consecutive crashes, which would likely crash
@@ -236,7 +238,7 @@
 
     /// Records that an upstream crashed while it ran a request. `version` is what
     /// [`Quarantine::version`] returned when the request was sent there. Returns the finding if
-    /// this crash puts the request on hold.
+    /// this crash quarantines the request.
     pub fn record_crash(
         &mut self,
         content: ContentKey,
@@ -247,7 +249,7 @@
         if self.has_recent_response(content, now) {
             return None;
         }
-        let was_held = self.is_held(content);
+        let was_quarantined = self.is_quarantined(content);
         if !self.table.contains_key(&content) {
             self.record_first_crash(now);
             // A full table evicts only a request with a single crash here.
@@ -268,8 +270,8 @@
         }
         finding.waves = finding.waves.max(version.waves.saturating_add(1));
         finding.add_crashed(start);
-        let ttl = match finding.is_held() {
-            true => hold_ttl(finding.waves),
+        let ttl = match finding.is_quarantined() {
+            true => quarantine_ttl(finding.waves),
             false => SUSPICION_TTL,
         };
         finding.until_unix_ms = finding.until_unix_ms.max(now + as_ms(ttl));
@@ -279,11 +281,13 @@
             self.new_findings.push(NewFinding { finding: finding.clone(), must_reach_all });
         }
         let found = entry.finding.clone();
-        (!was_held && self.is_hold_in_effect(&found)).then_some(found)
+        (!was_quarantined && self.is_quarantine_in_effect(&found)).then_some(found)
     }
 
     /// Records that an upstream ran a request to its end, which clears the request: something else
     /// crashed the upstreams that ran it. Returns true when that changed what is known of it.
+    ///
+    /// Callers may skip the call while [`Quarantine::is_empty`] returns true.
     pub fn record_response(&mut self, content: ContentKey, now: UnixMs) -> bool {
         if self.recent_responses.len() >= MAX_RECENT_RESPONSES {
             self.recent_responses.pop_front();
@@ -312,7 +316,7 @@
     /// Merges a finding received from another node. If it adds anything, the merged finding is
     /// returned, and may be announced to other nodes in turn.
     pub fn merge_remote(&mut self, received: &Finding, now: UnixMs) -> Option<Finding> {
-        let max_unix_ms = now + as_ms(MAX_HOLD_TTL);
+        let max_unix_ms = now + as_ms(MAX_QUARANTINE_TTL);
         let until_unix_ms = received.until_unix_ms.min(max_unix_ms);
         let received = Finding { until_unix_ms, ..received.clone() };
         if !received.is_valid() || is_expired(&received, now) {
@@ -399,22 +403,23 @@
         }
     }
 
-    /// Returns the findings that bring a node with another set of held requests up to date: those
-    /// of held requests first, then cleared ones and those with several consecutive crashes.
+    /// Returns the findings that bring a node with another set of quarantined requests up to date:
+    /// those of quarantined requests first, then cleared ones and those with several consecutive
+    /// crashes.
     fn sync_findings(&self) -> Vec<Finding> {
-        let is_relevant = |f: &&Finding| f.is_held() || f.epoch > 0 || f.waves > 1;
+        let is_relevant = |f: &&Finding| f.is_quarantined() || f.epoch > 0 || f.waves > 1;
         let shared =
             self.table.values().filter(|entry| entry.is_shared).map(|entry| &entry.finding);
         let mut findings: Vec<Finding> = shared.filter(is_relevant).cloned().collect();
-        findings.sort_by_key(|f| (!f.is_held(), std::cmp::Reverse(f.until_unix_ms)));
+        findings.sort_by_key(|f| (!f.is_quarantined(), std::cmp::Reverse(f.until_unix_ms)));
         findings.truncate(MAX_SYNC_FINDINGS);
         findings
     }
 
-    /// Returns the findings of requests that are not cleared, those held first.
+    /// Returns the findings of requests that are not cleared, those quarantined first.
     pub fn findings(&self) -> Vec<&Finding> {
         let mut findings: Vec<&Finding> = self.all().filter(|f| !f.is_clear()).collect();
-        findings.sort_by_cached_key(|f| (!self.is_hold_in_effect(f), f.content));
+        findings.sort_by_cached_key(|f| (!self.is_quarantine_in_effect(f), f.content));
         findings
     }
 
@@ -423,19 +428,19 @@
         self.table.values().map(|entry| &entry.finding)
     }
 
-    /// Returns the findings of requests that are held.
-    pub fn held(&self) -> impl Iterator<Item = &Finding> {
-        self.all().filter(|finding| self.is_hold_in_effect(finding))
+    /// Returns the findings of requests that are quarantined.
+    pub fn quarantined(&self) -> impl Iterator<Item = &Finding> {
+        self.all().filter(|finding| self.is_quarantine_in_effect(finding))
     }
 
-    /// Returns a digest of the held requests, which almost certainly differs between nodes that
-    /// hold different ones.
+    /// Returns a digest of the quarantined requests, which almost certainly differs between nodes
+    /// that quarantine different ones.
     ///
     /// A node that was partitioned, paused or started late has missed announcements. Its peers
     /// notice the different digest at the next ping and send it their findings.
     pub fn digest(&self) -> u64 {
-        let held = self.all().filter(|finding| finding.is_held());
-        held.fold(0, |digest, finding| digest ^ finding.digest())
+        let quarantined = self.all().filter(|finding| finding.is_quarantined());
+        quarantined.fold(0, |digest, finding| digest ^ finding.digest())
     }
 
     /// Removes expired findings.
@@ -451,7 +456,7 @@
         }
         self.expire(now);
         let priority = |entry: &Entry| {
-            (entry.finding.is_held(), entry.finding.waves, entry.finding.until_unix_ms)
+            (entry.finding.is_quarantined(), entry.finding.waves, entry.finding.until_unix_ms)
         };
         let lowest = self.table.iter().min_by_key(|(_, entry)| priority(entry));
         match lowest.map(|(content, entry)| (*content, entry.finding.waves)) {
@@ -467,16 +472,16 @@
     entry.finding.digest() % as_ms(MAX_ANNOUNCE_JITTER)
 }
 
-/// Returns how long a request with `waves` consecutive crashes is held.
-fn hold_ttl(waves: u8) -> Duration {
+/// Returns how long a request with `waves` consecutive crashes is quarantined.
+fn quarantine_ttl(waves: u8) -> Duration {
     let trials = u32::from(waves.saturating_sub(MAX_WAVES_BEFORE_TRIAL)).min(u32::BITS - 1);
-    MIN_HOLD_TTL.saturating_mul(1 << trials).min(MAX_HOLD_TTL)
+    MIN_QUARANTINE_TTL.saturating_mul(1 << trials).min(MAX_QUARANTINE_TTL)
 }
 
 /// Returns true when a finding no longer counts and need not be remembered.
 fn is_expired(finding: &Finding, now: UnixMs) -> bool {
-    let remembered_for = match finding.is_held() {
-        true => EXPIRED_HOLD_TTL,
+    let remembered_for = match finding.is_quarantined() {
+        true => EXPIRED_QUARANTINE_TTL,
         false => Duration::ZERO,
     };
     finding.until_unix_ms + as_ms(remembered_for) <= now
--- a/crates/quarantine/src/ledger/tests.rs
+++ b/crates/quarantine/src/ledger/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{
     as_ms, Decision, Quarantine, FIRST_CRASH_ANNOUNCE_DELAY, FIRST_TRIAL_DELAY,
-    MAX_ANNOUNCE_JITTER, MAX_ENTRIES, MAX_FIRST_CRASHES, MIN_HOLD_TTL,
+    MAX_ANNOUNCE_JITTER, MAX_ENTRIES, MAX_FIRST_CRASHES, MIN_QUARANTINE_TTL,
 };
 use crate::{ContentKey, Finding, Start, UnixMs};
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_request_is_held_after_its_third_crash() {
+fn a_request_is_quarantined_after_its_third_crash() {
     let mut quarantine = Quarantine::default();
     assert_eq!(decide(&quarantine, "a"), Decision::Allow);
     assert_eq!(crash(&mut quarantine, "a", 1), None);
@@ -47,9 +47,9 @@
     assert_eq!(decide(&quarantine, "b"), Decision::Allow);
 }
 
-/// Guards against holding a popular request for an hour when the upstreams of a zone end at once,
-/// each running a copy of it. Copies sent before any crash was known count as one crash; a copy
-/// sent afterwards that crashes too counts as another.
+/// Guards against quarantining a popular request for an hour when the upstreams of a zone end at
+/// once, each running a copy of it. Copies sent before any crash was known count as one crash; a
+/// copy sent afterwards that crashes too counts as another.
 #[test]
 fn simultaneous_crashes_count_as_one() {
     let mut quarantine = Quarantine::default();
@@ -65,7 +65,7 @@
 /// restarts at its address, its list does not tell incarnations apart, and three distinct ones
 /// never come up.
 #[test]
-fn three_consecutive_crashes_of_one_upstream_hold_a_request() {
+fn three_consecutive_crashes_of_one_upstream_are_enough() {
     let mut quarantine = Quarantine::default();
     assert_eq!(crash(&mut quarantine, "a", 1), None);
     assert_eq!(crash(&mut quarantine, "a", 1), None);
@@ -84,7 +84,7 @@
         other.merge_remote(&finding, NOW);
     }
     let findings = other.findings();
-    assert_eq!((findings[0].crashed.len(), findings[0].is_held()), (2, false));
+    assert_eq!((findings[0].crashed.len(), findings[0].is_quarantined()), (2, false));
 }
 
 #[test]
@@ -108,7 +108,7 @@
 }
 
 /// Guards against refusing a popular request that gets responses all the time: two groups of
-/// upstreams end, and another node, which lost copies in both, holds the request. A response from a
+/// upstreams end, and another node, which lost copies in both, quarantines it. A response from a
 /// moment ago clears it without waiting for the next one.
 #[test]
 fn a_recent_response_rules_out_a_request() {
@@ -127,8 +127,8 @@
     assert_eq!(one.decide(content("a"), || false, NOW + 5_000), Decision::Isolate);
 }
 
-/// Guards against holding a harmless request: one copy gets a response while another is under way,
-/// and then the upstream of the other copy crashes.
+/// Guards against quarantining a harmless request: one copy gets a response while another is under
+/// way, and then the upstream of the other copy crashes.
 #[test]
 fn a_crash_of_a_copy_sent_before_a_response_does_not_count() {
     let mut quarantine = Quarantine::default();
@@ -190,7 +190,7 @@
     (1..=3).for_each(|n| drop(crash(&mut other, "heavy", n)));
     let light = other.all().find(|f| f.content == content("light")).cloned();
     assert_eq!(quarantine.merge_remote(&light.expect("it is known"), NOW), None);
-    let heavy = other.held().next().cloned().expect("it is held back");
+    let heavy = other.quarantined().next().cloned().expect("it is quarantined");
     assert!(quarantine.merge_remote(&heavy, NOW).is_some());
     assert_eq!(quarantine.table.len(), MAX_ENTRIES);
 }
@@ -205,9 +205,10 @@
 }
 
 /// Guards against refusing a fixed request forever, and against a trial by every node at once when
-/// the hold is over and callers come to all nodes. One node of the fleet tries, one copy at a time.
+/// the quarantine is over and callers come to all nodes. One node of the fleet tries, one copy at a
+/// time.
 #[test]
-fn one_node_tries_a_request_whose_hold_is_over() {
+fn one_node_tries_a_request_whose_quarantine_is_over() {
     let mut quarantine = Quarantine::default();
     (1..=3).for_each(|n| drop(crash(&mut quarantine, "a", n)));
     let later = NOW + as_ms(FIRST_TRIAL_DELAY);
@@ -220,7 +221,11 @@
     let version = quarantine.version(content("a"));
     quarantine.end_attempt(content("a"), start(4));
     quarantine.record_crash(content("a"), version, start(4), later);
-    assert_eq!(decide(&quarantine, true), Decision::Reject(MIN_HOLD_TTL * 2), "it crashed another");
+    assert_eq!(
+        decide(&quarantine, true),
+        Decision::Reject(MIN_QUARANTINE_TTL * 2),
+        "it crashed another"
+    );
 }
 
 #[test]
@@ -238,14 +243,17 @@
 /// Guards against refusing a harmless request for minutes on all nodes: it runs at three upstreams
 /// one after the other, by chance each time next to the request that crashes them.
 #[test]
-fn a_request_explained_by_another_is_not_held() {
+fn a_request_explained_by_another_is_not_quarantined() {
     let mut quarantine = Quarantine::default();
     crash(&mut quarantine, "crashing", 1);
     for n in 2..=4 {
         crash(&mut quarantine, "crashing", n);
         assert_eq!(crash(&mut quarantine, "beside", n), None);
     }
-    assert!(quarantine.is_held(content("crashing")) && !quarantine.is_held(content("beside")));
+    assert!(
+        quarantine.is_quarantined(content("crashing"))
+            && !quarantine.is_quarantined(content("beside"))
+    );
     assert_eq!(decide(&quarantine, "beside"), Decision::Isolate);
     // Running isolated it crashes another upstream: the other request was not the cause.
     assert!(crash(&mut quarantine, "beside", 5).is_some());
@@ -274,8 +282,11 @@
         true => assert!(quarantine.record_response(content(isolated), NOW)),
         false => assert!(crash(&mut quarantine, isolated, 4).is_some()),
     }
-    let held = if is_harmless { rejected } else { isolated };
-    assert_eq!(quarantine.held().map(|f| f.content).collect::<Vec<_>>(), [content(held)]);
+    let quarantined = if is_harmless { rejected } else { isolated };
+    assert_eq!(
+        quarantine.quarantined().map(|f| f.content).collect::<Vec<_>>(),
+        [content(quarantined)]
+    );
 }
 
 #[test]
@@ -291,10 +302,10 @@
     assert!(quarantine.has_no_suspects(start(1)));
 }
 
-/// Guards against unbounded memory, and against letting a held request through again, when a client
-/// crashes upstreams with a great many different requests.
+/// Guards against unbounded memory, and against letting a quarantined request through again, when a
+/// client crashes upstreams with a great many different requests.
 #[test]
-fn many_other_requests_do_not_evict_held_ones() {
+fn many_other_requests_do_not_evict_quarantined_ones() {
     let mut quarantine = Quarantine::default();
     (1..=3).for_each(|n| drop(crash(&mut quarantine, "a", n)));
     for n in 0..3 * MAX_ENTRIES {
@@ -314,7 +325,10 @@
     finding.until_unix_ms = u64::MAX;
     assert!(quarantine.merge_remote(&finding, NOW).is_some());
     let day = Duration::from_secs(24 * 3_600);
-    assert_eq!(decide(&quarantine, "a"), Decision::Reject(day - MIN_HOLD_TTL + FIRST_TRIAL_DELAY));
+    assert_eq!(
+        decide(&quarantine, "a"),
+        Decision::Reject(day - MIN_QUARANTINE_TTL + FIRST_TRIAL_DELAY)
+    );
     quarantine.expire(NOW + 2 * as_ms(day));
     assert!(quarantine.is_empty());
 }
@@ -349,9 +363,10 @@
 }
 
 proptest! {
-    /// Guards against one node of a fleet that goes on sending a request which all others hold:
-    /// crashes, responses and lifts by an operator happen at several nodes, and messages between
-    /// them are lost, delayed, duplicated and reordered, until they get through again.
+    /// Guards against one node of a fleet that goes on sending a request which all others
+    /// quarantine: crashes, responses and lifts by an operator happen at several nodes, and
+    /// messages between them are lost, delayed, duplicated and reordered, until they get through
+    /// again.
     #[test]
     fn nodes_that_exchange_findings_converge(steps in prop::collection::vec(step(), 1..40)) {
         let mut nodes: [Quarantine; 3] = Default::default();
@@ -373,8 +388,11 @@
             }
         }
         let decisions = nodes.each_ref().map(|node| decide(node, "a"));
-        let held = |decision: &Decision| matches!(decision, Decision::Reject(_));
-        prop_assert!(decisions.iter().all(held) || !decisions.iter().any(held), "{decisions:?}");
+        let is_rejected = |decision: &Decision| matches!(decision, Decision::Reject(_));
+        prop_assert!(
+            decisions.iter().all(is_rejected) || !decisions.iter().any(is_rejected),
+            "{decisions:?}"
+        );
         prop_assert!(nodes.iter().all(|node| node.digest() == nodes[0].digest()));
     }
 }
--- a/crates/quarantine/src/places/tests.rs
+++ b/crates/quarantine/src/places/tests.rs
@@ -32,7 +32,7 @@
 }
 
 proptest! {
-    /// Guards against holding a harmless request: it is lost together with one that crashes
+    /// Guards against quarantining a harmless request: it is lost together with one that crashes
     /// upstreams, and two nodes, each choosing by itself, resend both to the same upstream, as do
     /// the nodes to which the callers return. Reservations must not depend on the order in which a
     /// node learned of requests and upstreams, and no upstream may be reserved twice.
