--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -13,16 +13,16 @@
 //! The crate does no I/O and reads no clock: the time is an argument.
 
 mod content;
-mod ends;
+mod crash_detector;
 mod finding;
-mod ledger;
-mod places;
+mod quarantine;
+mod reservations;
 
 pub use content::ContentKey;
-pub use ends::{CrashDetector, LostRequest, Start};
+pub use crash_detector::{CrashDetector, LostRequest, Start};
 pub use finding::Finding;
-pub use ledger::{Decision, FindingVersion, NewFinding, Quarantine, SUSPICION_TTL};
-pub use places::Reservations;
+pub use quarantine::{Decision, FindingVersion, NewFinding, Quarantine, SUSPICION_TTL};
+pub use reservations::Reservations;
 
 /// Unix time in milliseconds. The clocks of nodes may differ by seconds, so it is used only for
 /// durations of minutes.
