--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -176,9 +176,9 @@
     /// Deadlines that callers state, by kind of request.
     pub attempts: place::RetryDetector,
     /// Upstreams that ended of late, and the requests that were under way there.
-    pub ends: quarantine::Ends,
+    pub ends: quarantine::CrashDetector,
     /// Requests that crash upstreams.
-    pub quarantine: quarantine::Ledger,
+    pub quarantine: quarantine::Quarantine,
     /// What upstreams have stated about themselves.
     pub notices: notice::Board,
     /// Second sends allowed, by service.
@@ -232,8 +232,8 @@
             pools: HashMap::new(),
             works: place::WorkEstimates::default(),
             attempts: place::RetryDetector::default(),
-            ends: quarantine::Ends::default(),
-            quarantine: quarantine::Ledger::default(),
+            ends: quarantine::CrashDetector::default(),
+            quarantine: quarantine::Quarantine::default(),
             notices: notice::Board::of_node(node_seed),
             sends: HashMap::new(),
             unrecorded: crate::record::Unrecorded::default(),
@@ -321,7 +321,7 @@
     }
 
     /// Returns the time within which changes of a topic must be in force.
-    pub fn bound(&self, topic: Topic) -> lease::Bound {
+    pub fn bound(&self, topic: Topic) -> lease::StalenessBound {
         match topic {
             Topic::Config => self.settings.config_bound,
             Topic::Upstreams => self.settings.list_bound,
--- a/crates/oatcoved/src/probe.rs
+++ b/crates/oatcoved/src/probe.rs
@@ -58,7 +58,7 @@
     let mut watch = {
         let settings = &view.borrow().settings;
         let rules = watch::ProbeRules {
-            max_probes_per_s: settings.probe_cap_per_s,
+            max_probes_per_s: settings.max_probes_per_s,
             ..watch::ProbeRules::default()
         };
         watch::ProbeScheduler::new(settings.listen_addr, rules)
