--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -158,10 +158,11 @@
         };
         let upstreams = pool.into_iter().flat_map(|pool| pool.upstreams()).filter(may_serve);
         let starts = upstreams.map(|u| start_of(&u.incarnation));
-        let come_back = state.notices.opens_in(starts, now).map_or(COME_BACK_NOT_READY, |left| {
-            let spread = 1.0 + COME_BACK_SPREAD * state.rng.random::<f64>();
-            left.mul_f64(spread).clamp(COME_BACK_LEAST, notice::OPENS_IN_MOST)
-        });
+        let come_back =
+            state.notices.retry_after(starts, now).map_or(COME_BACK_NOT_READY, |left| {
+                let spread = 1.0 + COME_BACK_SPREAD * state.rng.random::<f64>();
+                left.mul_f64(spread).clamp(COME_BACK_LEAST, notice::MAX_RETRY_AFTER)
+            });
         NoChoice::NoUpstream { come_back }
     }
 
--- a/crates/edge/src/forward/notices.rs
+++ b/crates/edge/src/forward/notices.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use http::{HeaderMap, StatusCode};
-use notice::{Change, Fleet, Notice, Stated};
+use notice::{Change, Fleet, Notice, Signals};
 use place::Incarnation;
 use quarantine::Start;
 
@@ -13,7 +13,7 @@
 use crate::{as_ms, moment, readers, start_of};
 
 impl Node {
-    /// Takes what an answer of `upstream` states about it; see [`notice::Board::hear`].
+    /// Takes what an answer of `upstream` states about it; see [`notice::Backpressure::apply_signals`].
     pub(crate) fn hear_notice(
         &self,
         upstream: &Incarnation,
@@ -27,9 +27,9 @@
         }
         let changes = {
             let state = &mut *self.state.borrow_mut();
-            let stated = Stated::read(status, headers, &state.settings.headers.notices);
-            stated.unreadable().for_each(|what| log_unreadable(upstream, what));
-            state.notices.hear(start_of(upstream), &stated, asked_at, moment())
+            let stated = Signals::from_response(status, headers, &state.settings.headers.notices);
+            stated.invalid_fields().for_each(|what| log_unreadable(upstream, what));
+            state.notices.apply_signals(start_of(upstream), &stated, asked_at, moment())
         };
         changes.iter().for_each(|change| log_change(upstream.id(), *change, "this node"));
         if changes.contains(&Change::Leaving) {
@@ -43,7 +43,7 @@
     /// Takes what a peer tells of an upstream.
     pub(crate) fn hear_peer_notice(&self, notice: &Notice) {
         let state = &mut *self.state.borrow_mut();
-        let Some(change) = state.notices.hear_peer(notice, moment()) else { return };
+        let Some(change) = state.notices.apply_notice(notice, moment()) else { return };
         let upstreams = state.pools.values().flat_map(|pool| pool.upstreams());
         let mut incarnations = upstreams.map(|upstream| &upstream.incarnation);
         let upstream = incarnations.find(|upstream| start_of(upstream) == notice.start);
@@ -58,7 +58,7 @@
     /// Deals out limits anew if that is due. A node that has just started knows few of the others, and
     /// sends to limited upstreams nothing.
     pub(crate) fn deal_limits(&mut self, now: Instant) {
-        if !self.notices.is_undealt() || !readers::knows_peers(self, now) {
+        if !self.notices.shares_outdated() || !readers::knows_peers(self, now) {
             return;
         }
         let upstreams = self.pools.values().flat_map(|pool| pool.upstreams());
@@ -70,7 +70,7 @@
             others: peers.map(|(addr, peer)| (*addr, peer.zone.as_str())).collect(),
             zones,
         };
-        self.notices.deal(&fleet, now);
+        self.notices.update_shares(&fleet, now);
     }
 }
 
--- a/crates/edge/src/forward/send.rs
+++ b/crates/edge/src/forward/send.rs
@@ -41,7 +41,7 @@
             report_age_ms: choice.report_age.map(as_ms),
         });
         let counted = Outstanding::start(&self.state, &call.service, &choice.upstream);
-        self.state.borrow_mut().notices.sent(start_of(&choice.upstream), Instant::now());
+        self.state.borrow_mut().notices.record_send(start_of(&choice.upstream), Instant::now());
         let (known, _under_way) = self.begin(call, &choice.upstream);
         let sent_at = Instant::now();
         let timeout = CONNECT_TIMEOUT.min(call.left());
--- a/crates/edge/src/forward/sends.rs
+++ b/crates/edge/src/forward/sends.rs
@@ -133,7 +133,7 @@
                     .field("evacuated", zones)
                     .field("limited", state.notices.limited_count(now))
                     .field("leaving", state.notices.leaving_count(now))
-                    .field("resting", state.notices.resting_count(now));
+                    .field("resting", state.notices.backoff_count(now));
                 (line, come_back)
             }
             NoChoice::Refused { come_back, best, predicted, wait, report_age } => {
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -100,7 +100,7 @@
 
 /// Tells peers what is news of what upstreams state about themselves.
 fn tell_notices(members: &mut member::Members, node: &Node) -> Vec<member::Outgoing> {
-    let (news, now) = (node.state.borrow_mut().notices.take_news(), Instant::now());
+    let (news, now) = (node.state.borrow_mut().notices.take_new_notices(), Instant::now());
     news.into_iter().flat_map(|news| members.spread_notice(news, now)).collect()
 }
 
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -59,7 +59,7 @@
     /// For how many milliseconds more the upstream that answers a probe is cold.
     pub cold_ms: HeaderName,
     /// What the upstream that answers states about itself.
-    pub notices: notice::Names,
+    pub notices: notice::HeaderNames,
 }
 
 /// What one entry node is told at start.
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -117,7 +117,7 @@
         self.list_unsure.record(unsure(Topic::Upstreams), &[]);
         self.limited.record(state.notices.limited_count(now) as u64, &[]);
         self.leaving.record(state.notices.leaving_count(now) as u64, &[]);
-        self.resting.record(state.notices.resting_count(now) as u64, &[]);
+        self.resting.record(state.notices.backoff_count(now) as u64, &[]);
         self.zones_evacuated.record(state.evacuations.zones().len() as u64, &[]);
         self.lines_dropped.record(trace::dropped(), &[]);
         self.carried.scrape(&state.counters)
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -180,7 +180,7 @@
     /// Requests that crash upstreams.
     pub quarantine: quarantine::Ledger,
     /// What upstreams have stated about themselves.
-    pub notices: notice::Board,
+    pub notices: notice::Backpressure,
     /// Second sends allowed, by service.
     sends: HashMap<ServiceName, Sends>,
     /// Configurations that may have no record yet.
@@ -234,7 +234,7 @@
             attempts: place::Attempts::default(),
             ends: quarantine::Ends::default(),
             quarantine: quarantine::Ledger::default(),
-            notices: notice::Board::of_node(node_seed),
+            notices: notice::Backpressure::with_node_seed(node_seed),
             sends: HashMap::new(),
             unrecorded: crate::record::Unrecorded::default(),
             turns: HashMap::new(),
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -162,7 +162,11 @@
 }
 
 impl UpstreamStatus {
-    fn of(upstream: &place::Upstream, notices: &notice::Board, now: Instant) -> UpstreamStatus {
+    fn of(
+        upstream: &place::Upstream,
+        notices: &notice::Backpressure,
+        now: Instant,
+    ) -> UpstreamStatus {
         let report = upstream.report(now).map(|(load, age)| Report {
             age_ms: as_ms(age),
             running: load.running,
@@ -178,7 +182,7 @@
             outstanding: upstream.outstanding,
             ejected: upstream.is_ejected(now),
             report,
-            noted: notices.noted(start_of(&upstream.incarnation), now),
+            noted: notices.status(start_of(&upstream.incarnation), now),
         }
     }
 }
--- a/crates/edge/src/tests/fake.rs
+++ b/crates/edge/src/tests/fake.rs
@@ -44,7 +44,7 @@
         not_run: HeaderName::from_static("x-not-run"),
         load: HeaderName::from_static("x-load"),
         cold_ms: HeaderName::from_static("x-cold-ms"),
-        notices: notice::Names {
+        notices: notice::HeaderNames {
             limit: HeaderName::from_static("x-limit"),
             leaving: HeaderName::from_static("x-leaving"),
         },
--- a/crates/member/src/notices.rs
+++ b/crates/member/src/notices.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use notice::News;
+use notice::NewNotice;
 use wire::Packet;
 
 use crate::{Members, Outgoing};
@@ -36,7 +36,7 @@
 
 impl Members {
     /// Spreads what an upstream states about itself.
-    pub fn spread_notice(&mut self, news: News, now: Instant) -> Vec<Outgoing> {
+    pub fn spread_notice(&mut self, news: NewNotice, now: Instant) -> Vec<Outgoing> {
         self.queue.push_notice(news.notice.clone());
         match news.is_change && self.told_at_once.may_tell(now) {
             true => self.tell_a_few(Packet { notices: vec![news.notice], ..self.news() }),
--- a/crates/member/src/tests.rs
+++ b/crates/member/src/tests.rs
@@ -36,7 +36,7 @@
     heard: Vec<Event>,
     /// What it knows of requests that crash upstreams.
     ledger: quarantine::Ledger,
-    board: notice::Board,
+    board: notice::Backpressure,
 }
 
 struct Net {
@@ -195,11 +195,11 @@
         let Node { members, board, .. } = &mut self.nodes[index];
         for event in events {
             if let Event::Notice(notice) = event {
-                board.hear_peer(notice, moment);
+                board.apply_notice(notice, moment);
             }
         }
         board
-            .take_news()
+            .take_new_notices()
             .into_iter()
             .flat_map(|news| members.spread_notice(news, moment.at))
             .collect()
--- a/crates/member/src/tests/notices.rs
+++ b/crates/member/src/tests/notices.rs
@@ -1,6 +1,6 @@
 //! How what upstreams state about themselves comes to all nodes.
 
-use notice::{Field, Stated};
+use notice::{Field, Signals};
 use quarantine::Start;
 
 use super::*;
@@ -15,22 +15,22 @@
     Start::of("u", 1)
 }
 
-fn leaves() -> Stated {
-    Stated { leaving: Field::Named(true), ..Stated::default() }
+fn leaves() -> Signals {
+    Signals { leaving: Field::Value(true), ..Signals::default() }
 }
 
-fn names_a_limit() -> Stated {
-    Stated { limit: Field::Named(1_000), ..Stated::default() }
+fn names_a_limit() -> Signals {
+    Signals { limit: Field::Value(1_000), ..Signals::default() }
 }
 
 impl Net {
     /// Has a node hear an answer; `asked` tells whether it was asked for just before.
-    fn hear(&mut self, node: usize, stated: &Stated, asked: bool) {
+    fn hear(&mut self, node: usize, stated: &Signals, asked: bool) {
         let (moment, asked_at) = (self.moment(), asked.then_some(self.now));
-        self.nodes[node].board.hear(start(), stated, asked_at, moment);
+        self.nodes[node].board.apply_signals(start(), stated, asked_at, moment);
     }
 
-    fn count(&self, holds: impl Fn(&notice::Board) -> bool) -> usize {
+    fn count(&self, holds: impl Fn(&notice::Backpressure) -> bool) -> usize {
         self.nodes.iter().filter(|node| holds(&node.board)).count()
     }
 }
@@ -51,7 +51,7 @@
     let now = net.now;
     assert_eq!(net.count(|board| board.is_leaving(start(), now)), nodes);
     assert_eq!(net.count(|board| board.limited_count(now) == 1), nodes);
-    net.hear(1, &Stated::default(), true);
+    net.hear(1, &Signals::default(), true);
     net.run(KNOWN_WITHIN);
     let now = net.now;
     assert_eq!(net.count(|board| board.limited_count(now) == 0), nodes);
@@ -93,13 +93,13 @@
     let moment = net.moment();
     for n in 0..UPSTREAMS {
         let node = &mut net.nodes[(n % 5) as usize];
-        node.board.hear(Start::of("u", n), &leaves(), None, moment);
+        node.board.apply_signals(Start::of("u", n), &leaves(), None, moment);
     }
     net.run(Duration::from_secs(1));
     let bytes = net.bytes / NODES as u64;
     assert!(bytes <= BYTES_MOST, "{bytes} bytes a node in the first second");
     net.run(Duration::from_secs(29));
     let now = net.now;
-    let all_known = |board: &notice::Board| board.leaving_count(now) == UPSTREAMS as usize;
+    let all_known = |board: &notice::Backpressure| board.leaving_count(now) == UPSTREAMS as usize;
     assert_eq!(net.count(all_known), NODES);
 }
--- a/crates/notice/src/lib.rs
+++ b/crates/notice/src/lib.rs
@@ -1,23 +1,25 @@
-//! What upstreams state about themselves in their answers.
+//! Backpressure that upstreams signal in their responses.
 //!
-//! The load pattern: an upstream in need runs little, so its load report makes it look better than all
-//! others, and every node sends it what it has asked not to get.
+//! An overloaded or leaving upstream runs few requests, so by its load report alone it looks better
+//! than all others, and every node would send it the traffic that it asked not to get.
 //!
-//! [`Stated`] is what one answer states; [`Board`] holds what stands of it, by start of an upstream, and
-//! says whether a request may be sent there now; nodes tell each other by [`Notice`]s. [`Fleet`] deals
-//! a limit out to nodes.
+//! [`Signals`] is what one response states. [`Backpressure`] holds the signals in force for each
+//! upstream instance and decides whether a request may be sent to it now. Nodes share them as
+//! [`Notice`]s. [`Fleet`] divides a limit among the nodes.
 //!
-//! Everything here is pure: time is passed in.
+//! The crate does no I/O and reads no clock: callers pass the time in.
 
-mod board;
+mod backpressure;
 mod limit;
-mod rest;
+mod retry_after;
 mod share;
-mod stated;
+mod signals;
 
-pub use board::{Board, Change, Moment, News, Noted, Notice, Word, OPENS_IN_MOST};
+pub use backpressure::{
+    Backpressure, Change, Moment, NewNotice, Noted, Notice, Statement, MAX_RETRY_AFTER,
+};
 pub use share::Fleet;
-pub use stated::{Field, Names, Stated};
+pub use signals::{Field, HeaderNames, Signals};
 
-/// Requests in a thousand seconds.
+/// Requests per 1,000 seconds.
 pub type PerKs = u64;
--- a/crates/notice/src/share.rs
+++ b/crates/notice/src/share.rs
@@ -1,11 +1,12 @@
-//! Which nodes send to an upstream that takes few requests, and how many each.
+//! Which nodes send to a rate-limited upstream, and at what rate each.
 //!
-//! The load pattern: hundreds of nodes are told by one upstream that it takes one request a second from
-//! all of them. One a second each is hundreds; a part of it each, saved up, comes at once.
+//! An upstream may tell hundreds of nodes that it takes one request per second from all of them. At one
+//! per second each, it gets hundreds; if each node saves up a small fraction, the saved requests arrive
+//! in one burst.
 //!
-//! A few nodes, which each node works out alike, therefore own an upstream and share its limit; the
-//! others send it nothing. No node needs to hear what another has sent. While nodes differ in whom they
-//! know there may be owners too many, for which there is room in what the upstream tolerates.
+//! Therefore a few nodes own each upstream and share its limit, and the others send it nothing. Every
+//! node computes the same owners on its own, so no node needs to know what another has sent. While nodes
+//! disagree about which nodes exist, there may be too many owners; the tolerance of upstreams covers that.
 
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -17,89 +18,91 @@
 
 use crate::PerKs;
 
-/// Owners of an upstream, if there are as many nodes: one may have died unnoticed.
-const OWNERS_LEAST: usize = 2;
+/// Minimum number of owners of an upstream, if there are as many nodes: one may have died unnoticed.
+const MIN_OWNERS: usize = 2;
 
-/// What an owner may save up while it has nothing to send, and at least one request.
-const SAVED_FOR: Duration = Duration::from_millis(250);
+/// Longest time for which an idle owner accumulates unused requests; it can always accumulate one.
+const MAX_BURST_DURATION: Duration = Duration::from_millis(250);
 
-/// The nodes that may send, as one of them knows them, and where upstreams are.
+/// The nodes that may send, as one of them knows them, and the zones of upstreams.
 #[derive(Clone, Debug)]
 pub struct Fleet<'a> {
-    /// This node and its availability zone.
+    /// Address and availability zone of this node.
     pub me: (SocketAddr, &'a str),
-    /// The others that are alive.
+    /// Addresses and availability zones of the other live nodes.
     pub others: Vec<(SocketAddr, &'a str)>,
-    /// Availability zones of upstreams. Nodes of other zones send there when theirs are full.
+    /// Availability zones of upstreams. Nodes of other zones send to an upstream when their own zone's
+    /// upstreams are full.
     pub zones: HashMap<Start, &'a str>,
 }
 
 impl Fleet<'_> {
-    /// Returns the requests a second that this node may send to an upstream that takes `per_ks` from all
-    /// nodes; `None` when it is no owner.
+    /// Returns the requests per second that this node may send to an upstream that takes `per_ks` from all
+    /// nodes together; `None` when this node is not an owner.
     pub fn share(&self, start: Start, per_ks: PerKs) -> Option<f64> {
-        let mine = self.order(self.me, start);
-        let is_ahead = |other: &&(SocketAddr, &str)| self.order(**other, start) < mine;
+        let own_rank = self.rank(self.me, start);
+        let is_ahead = |other: &&(SocketAddr, &str)| self.rank(**other, start) < own_rank;
         let ahead = self.others.iter().filter(is_ahead).count();
         let per_s = per_ks as f64 / 1e3;
-        let owners = (per_s as usize).max(OWNERS_LEAST).min(1 + self.others.len());
+        let owners = (per_s as usize).max(MIN_OWNERS).min(1 + self.others.len());
         (ahead < owners).then(|| per_s / owners as f64)
     }
 
-    /// Returns how early a node owns an upstream, the least first.
-    fn order(&self, (addr, zone): (SocketAddr, &str), start: Start) -> (bool, u64) {
+    /// Returns a node's rank for an upstream; the lowest ranks own it. Nodes in the upstream's zone rank
+    /// first.
+    fn rank(&self, (addr, zone): (SocketAddr, &str), start: Start) -> (bool, u64) {
         let mut hasher = SipHasher13::new();
         (start, addr).hash(&mut hasher);
         (self.zones.get(&start) != Some(&zone), hasher.finish())
     }
 }
 
-/// What an owner may send now.
+/// A token bucket that bounds what this node sends to one limited upstream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Allowance {
+pub(crate) struct Bucket {
     per_s: f64,
-    saved: f64,
-    at: Instant,
+    tokens: f64,
+    updated_at: Instant,
 }
 
-impl Allowance {
-    /// Creates the allowance of a node that has saved nothing: it may take another's place, which has
-    /// just sent.
-    pub(crate) fn new(now: Instant) -> Allowance {
-        Allowance { per_s: 0.0, saved: 0.0, at: now }
+impl Bucket {
+    /// Creates an empty bucket with rate 0. It starts empty because this node may replace another owner
+    /// that has just sent.
+    pub(crate) fn new(now: Instant) -> Bucket {
+        Bucket { per_s: 0.0, tokens: 0.0, updated_at: now }
     }
 
-    fn saved(&self, now: Instant) -> f64 {
-        let most = (self.per_s * SAVED_FOR.as_secs_f64()).max(1.0);
-        let earned = now.saturating_duration_since(self.at).as_secs_f64() * self.per_s;
-        (self.saved + earned).min(most)
+    fn tokens(&self, now: Instant) -> f64 {
+        let capacity = (self.per_s * MAX_BURST_DURATION.as_secs_f64()).max(1.0);
+        let added = now.saturating_duration_since(self.updated_at).as_secs_f64() * self.per_s;
+        (self.tokens + added).min(capacity)
     }
 
-    /// Takes how many requests a second it may send from now on.
-    pub(crate) fn set(&mut self, per_s: Option<f64>, now: Instant) {
+    /// Sets the rate in requests per second; `None` means that nothing may be sent.
+    pub(crate) fn set_rate(&mut self, per_s: Option<f64>, now: Instant) {
         let per_s = per_s.unwrap_or(0.0);
-        let saved = if per_s > 0.0 { self.saved(now) } else { 0.0 };
-        *self = Allowance { per_s, saved, at: now };
+        let tokens = if per_s > 0.0 { self.tokens(now) } else { 0.0 };
+        *self = Bucket { per_s, tokens, updated_at: now };
     }
 
-    /// Returns true when it allows a request now.
+    /// Returns true when a request may be sent now.
     pub(crate) fn allows(&self, now: Instant) -> bool {
-        self.saved(now) >= 1.0
+        self.tokens(now) >= 1.0
     }
 
-    /// Returns when it allows the next one; `None` when it never does.
+    /// Returns when the next request may be sent; `None` when the rate is 0.
     pub(crate) fn allows_at(&self, now: Instant) -> Option<Instant> {
-        let wait_s = (1.0 - self.saved(now)).max(0.0) / self.per_s;
+        let wait_s = (1.0 - self.tokens(now)).max(0.0) / self.per_s;
         Duration::try_from_secs_f64(wait_s).ok().map(|wait| now + wait)
     }
 
-    /// Takes one request out of it.
+    /// Takes the token of one request.
     pub(crate) fn take(&mut self, now: Instant) {
-        self.saved = self.saved(now) - 1.0;
-        self.at = now;
+        self.tokens = self.tokens(now) - 1.0;
+        self.updated_at = now;
     }
 
-    /// Returns the requests a second that this node may send.
+    /// Returns the rate in requests per second.
     pub(crate) fn per_s(&self) -> f64 {
         self.per_s
     }
--- a/crates/oatcoved/src/gossip.rs
+++ b/crates/oatcoved/src/gossip.rs
@@ -106,11 +106,11 @@
 /// Tells peers what is news of what upstreams state about themselves.
 fn tell_notices(
     members: &mut member::Members,
-    notices: &mut notice::Board,
+    notices: &mut notice::Backpressure,
 ) -> Vec<member::Outgoing> {
     let now = Instant::now();
     notices.expire(now);
-    let news = notices.take_news();
+    let news = notices.take_new_notices();
     news.into_iter().flat_map(|news| members.spread_notice(news, now)).collect()
 }
 
--- a/crates/oatcoved/src/metrics.rs
+++ b/crates/oatcoved/src/metrics.rs
@@ -97,7 +97,7 @@
         let now = Instant::now();
         self.limited.record(view.notices.limited_count(now) as u64, &[]);
         self.leaving.record(view.notices.leaving_count(now) as u64, &[]);
-        self.resting.record(view.notices.resting_count(now) as u64, &[]);
+        self.resting.record(view.notices.backoff_count(now) as u64, &[]);
         self.zones_evacuated.record(view.evacuated().count() as u64, &[]);
         self.carried.scrape(&view.counters)
     }
--- a/crates/oatcoved/src/notices.rs
+++ b/crates/oatcoved/src/notices.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use http::HeaderName;
-use notice::{Change, Field, Fleet, Names, Notice, Stated};
+use notice::{Change, Field, Fleet, HeaderNames, Notice, Signals};
 use quarantine::Start;
 
 use crate::gossip;
@@ -17,15 +17,15 @@
 }
 
 /// Reads what an answer states; says so when that cannot be read.
-pub(crate) fn stated(upstream: SocketAddr, response: &web::Response) -> Stated {
-    let names = Names {
+pub(crate) fn stated(upstream: SocketAddr, response: &web::Response) -> Signals {
+    let names = HeaderNames {
         limit: HeaderName::from_static(crate::LIMIT),
         leaving: HeaderName::from_static(crate::LEAVING),
     };
-    let stated = Stated::read(response.status(), response.headers(), &names);
+    let stated = Signals::from_response(response.status(), response.headers(), &names);
     let log =
         |what| log::warn!("upstream={upstream} states its {what} in a way that cannot be read");
-    stated.unreadable().for_each(log);
+    stated.invalid_fields().for_each(log);
     stated
 }
 
@@ -48,23 +48,23 @@
         Start::of_vm(addr, self.vms.get(&addr).map_or("", |vm| vm.id.as_str()))
     }
 
-    /// Takes what an answer of the upstream at `addr` states; see [`notice::Board::hear`]. Returns true
-    /// when that is a change.
+    /// Takes what an answer of the upstream at `addr` states; see
+    /// [`notice::Backpressure::apply_signals`]. Returns true when that is a change.
     pub(crate) fn hear_notice(
         &mut self,
         addr: SocketAddr,
-        stated: &Stated,
+        stated: &Signals,
         asked_at: Option<Instant>,
     ) -> bool {
         let start = self.start_at(addr);
-        let changes = self.notices.hear(start, stated, asked_at, moment());
+        let changes = self.notices.apply_signals(start, stated, asked_at, moment());
         changes.iter().for_each(|change| log_change(addr, *change));
         !changes.is_empty()
     }
 
     /// Takes what a peer tells of an upstream.
     pub(crate) fn hear_peer_notice(&mut self, notice: &Notice) {
-        let Some(change) = self.notices.hear_peer(notice, moment()) else { return };
+        let Some(change) = self.notices.apply_notice(notice, moment()) else { return };
         let addr = self.vms.keys().find(|addr| self.start_at(**addr) == notice.start);
         match addr {
             Some(addr) => log_change(*addr, change),
@@ -77,15 +77,15 @@
     pub(crate) fn hear_probe(
         &mut self,
         addr: SocketAddr,
-        stated: &Stated,
+        stated: &Signals,
         asked_at: Instant,
     ) -> bool {
         let is_change = self.hear_notice(addr, stated, None);
         let stays = match stated.leaving {
-            Field::Absent | Field::Named(false) => {
-                self.notices.stays(self.start_at(addr), asked_at, moment())
+            Field::Absent | Field::Value(false) => {
+                self.notices.clear_leaving(self.start_at(addr), asked_at, moment())
             }
-            Field::Named(true) | Field::Unreadable => None,
+            Field::Value(true) | Field::Invalid => None,
         };
         stays.into_iter().for_each(|change| log_change(addr, change));
         is_change || stays.is_some()
@@ -93,7 +93,7 @@
 
     /// Deals out limits anew if that is due.
     pub(crate) fn deal_limits(&mut self, now: Instant) {
-        if !self.notices.is_undealt() {
+        if !self.notices.shares_outdated() {
             return;
         }
         let upstreams = self.pools.values().flat_map(|pool| &pool.upstreams);
@@ -107,7 +107,7 @@
             others: peers.map(|(addr, peer)| (*addr, peer.zone.as_str())).collect(),
             zones,
         };
-        self.notices.deal(&fleet, now);
+        self.notices.update_shares(&fleet, now);
     }
 
     /// Returns in which time an upstream of a service may get a call again, where none may now; `None`
@@ -121,7 +121,7 @@
         if pool.upstreams.iter().any(is_open) {
             return None;
         }
-        self.notices.opens_in(barred.into_iter().map(|addr| self.start_at(addr)), now)
+        self.notices.retry_after(barred.into_iter().map(|addr| self.start_at(addr)), now)
     }
 
     /// Returns the upstreams of a service that may not get a call now, by their own word.
--- a/crates/oatcoved/src/probe.rs
+++ b/crates/oatcoved/src/probe.rs
@@ -38,7 +38,7 @@
 pub struct Found {
     probe: watch::Probe,
     /// What the answer states about the upstream, and when it was asked for; `None` when there was none.
-    stated: Option<(notice::Stated, Instant)>,
+    stated: Option<(notice::Signals, Instant)>,
 }
 
 /// The part of a load report that watching uses; other fields are ignored.
--- a/crates/oatcoved/src/proxy/forward.rs
+++ b/crates/oatcoved/src/proxy/forward.rs
@@ -385,7 +385,7 @@
     fn count_send(&self, addr: SocketAddr) {
         let view = &mut *self.view.borrow_mut();
         let start = view.start_at(addr);
-        view.notices.sent(start, Instant::now());
+        view.notices.record_send(start, Instant::now());
     }
 
     /// Sends the call to `addr` and, if no answer comes in the usual time, to one more
--- a/crates/oatcoved/src/view.rs
+++ b/crates/oatcoved/src/view.rs
@@ -114,7 +114,7 @@
     /// Calls that crash upstreams.
     pub quarantine: quarantine::Ledger,
     /// What upstreams have stated about themselves.
-    pub notices: notice::Board,
+    pub notices: notice::Backpressure,
     /// Calls being forwarded.
     pub in_flight: u64,
     /// Set once the node is stopping.
@@ -141,7 +141,7 @@
             reports: Default::default(),
             ends: Default::default(),
             quarantine: Default::default(),
-            notices: notice::Board::of_node(rand::random()),
+            notices: notice::Backpressure::with_node_seed(rand::random()),
             in_flight: 0,
             stopping: false,
             counters: Counters::default(),
@@ -292,7 +292,7 @@
                         failing: u.report == balance::Report::Failing,
                         outstanding: u.outstanding,
                         latency_ewma_ms: u.latency_ewma_us / 1_000.0,
-                        noted: self.notices.noted(self.start_at(u.addr), now),
+                        noted: self.notices.status(self.start_at(u.addr), now),
                     })
                     .collect();
                 (service.clone(), list)
--- a/crates/wire/src/tests.rs
+++ b/crates/wire/src/tests.rs
@@ -41,8 +41,8 @@
 fn notice() -> notice::Notice {
     notice::Notice {
         start: quarantine::Start::of("u", 1),
-        said_unix_ms: 1_000,
-        word: notice::Word::Limit(Some(1_100)),
+        stated_unix_ms: 1_000,
+        statement: notice::Statement::Limit(Some(1_100)),
     }
 }
 
