--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -56,7 +56,7 @@
         known.extend(serving(Standing::Suspect));
     }
     let host = asker.host.to_ascii_lowercase();
-    let homes = state.table.as_ref().and_then(|table| table.homes_of(&host));
+    let homes = state.table.as_ref().and_then(|table| table.allowed_regions_of(&host));
     let nearness = |zone: &Zone| {
         let region = state.settings.regions.get(zone);
         match &homes {
--- a/crates/edge/src/forward/call.rs
+++ b/crates/edge/src/forward/call.rs
@@ -9,7 +9,7 @@
 use http::HeaderValue;
 use place::{Incarnation, UpstreamId};
 use quarantine::Content;
-use route::{Repeat, Route, ServiceName};
+use route::{RetryPolicy, Route, ServiceName};
 use serde::Serialize;
 use web::h1;
 
@@ -112,7 +112,7 @@
     }
 
     pub(super) fn repeatable(&self) -> bool {
-        self.route.repeat == Repeat::Idempotent
+        self.route.retry_policy == RetryPolicy::Idempotent
     }
 
     /// Returns what it asks: the same under each id that its caller gives it. Requests in no
--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -151,7 +151,7 @@
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
         let pool = state.pools.get(&call.service);
-        let homes = state.settings.home_zones(&call.route.homes);
+        let homes = state.settings.home_zones(&call.route.allowed_regions);
         let may_serve = |u: &&place::Upstream| {
             let is_home = homes.as_ref().is_none_or(|homes| homes.contains(&u.zone));
             is_home && !state.evacuations.is_evacuated(&u.zone)
@@ -171,7 +171,7 @@
         let now = Instant::now();
         state.deal_limits(now);
         let Some(pool) = state.pools.get(&call.service) else { return Vec::new() };
-        let homes = state.settings.home_zones(&call.route.homes);
+        let homes = state.settings.home_zones(&call.route.allowed_regions);
         let ask = place::Ask {
             policy: state.settings.policy,
             work: state.works.of(&call.route.name, call.route.objective),
--- a/crates/edge/src/serve/take.rs
+++ b/crates/edge/src/serve/take.rs
@@ -229,7 +229,7 @@
     let state = node.state.borrow();
     let table = state.table.as_ref();
     let route = table.and_then(|table| table.find(&head.host, head.path()));
-    route.is_some_and(|route| route.repeat == route::Repeat::Idempotent)
+    route.is_some_and(|route| route.retry_policy == route::RetryPolicy::Idempotent)
 }
 
 /// Waits for the first byte of a request; false when none came in the allowed time.
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -186,7 +186,7 @@
     /// Configurations that may have no record yet.
     pub unrecorded: crate::record::Unrecorded,
     /// Whose turn it is at each split route.
-    pub turns: HashMap<RouteName, route::Turns>,
+    pub turns: HashMap<RouteName, route::WeightedRoundRobin>,
     /// How much of the configuration's history was seen.
     pub config_seen: Seen,
     /// How much of the list's history was seen.
--- a/crates/edge/src/tests/fake.rs
+++ b/crates/edge/src/tests/fake.rs
@@ -10,7 +10,7 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRentExt, Splitable};
 use monoio::net::{TcpListener, TcpStream};
 use place::{Change, Entry};
-use route::{ClientLimits, Repeat, Route, Service, Table, Target};
+use route::{ClientLimits, RetryPolicy, Route, Service, Table, Target};
 use web::h1;
 
 use crate::forward::Node;
@@ -77,20 +77,20 @@
 
 /// Paths under `/get/` may run twice, those under `/post/` once.
 pub fn table(version: route::Version, limits: ClientLimits) -> Table {
-    let route = |prefix: &str, repeat| Route {
+    let route = |prefix: &str, retry_policy| Route {
         name: prefix.into(),
         prefix: prefix.into(),
-        repeat,
+        retry_policy,
         targets: vec![Target { service: "desk".into(), weight: 1.0 }],
         attempts: 2,
         timeout: ms(600),
         objective: ms(300),
         priority: 0,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     };
     let routes = vec![
-        ("seeds.example".into(), route("/get/", Repeat::Idempotent)),
-        ("seeds.example".into(), route("/post/", Repeat::AtMostOnce)),
+        ("seeds.example".into(), route("/get/", RetryPolicy::Idempotent)),
+        ("seeds.example".into(), route("/post/", RetryPolicy::AtMostOnce)),
     ];
     let service = Service {
         name: "desk".into(),
--- a/crates/edge/src/tests/homes.rs
+++ b/crates/edge/src/tests/homes.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use route::{ClientLimits, Region, Repeat, Route, Service, Table, Target};
+use route::{ClientLimits, Region, RetryPolicy, Route, Service, Table, Target};
 use wire::Standing;
 
 use super::fake::{answer, get, ms, run, start, table, Caller, Entered, Upstream};
@@ -21,13 +21,13 @@
     let route = Route {
         name: "get".into(),
         prefix: "/get/".into(),
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         targets: vec![Target { service: "desk".into(), weight: 1.0 }],
         attempts: 2,
         timeout: ms(600),
         objective: ms(300),
         priority: 0,
-        homes: homes.iter().map(|home| Region::from(*home)).collect(),
+        allowed_regions: homes.iter().map(|home| Region::from(*home)).collect(),
     };
     let services: Vec<Service> = table(1, ClientLimits::default()).services.into_values().collect();
     Table::new(version, ClientLimits::default(), services, vec![("seeds.example".into(), route)])
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,9 +1,10 @@
-//! Which service a request goes to, and what its route promises.
+//! Request routing: which service a request goes to, and under which policy.
 //!
-//! [`Table`] is one version of the routing configuration, immutable once
-//! built. A route is found by host and longest path prefix; it says what may
-//! be repeated, how often, and within which time. [`Turns`] deals the
-//! requests of a split route out to its services by weight.
+//! [`Table`] is one version of the routing configuration and is immutable once
+//! built. A route is matched by host and longest path prefix; it defines
+//! whether, how often and for how long a request may be retried.
+//! [`WeightedRoundRobin`] distributes the requests of a route with several
+//! services by weight.
 
 mod split;
 
@@ -13,9 +14,9 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-pub use split::Turns;
+pub use split::WeightedRoundRobin;
 
-/// Version of a routing configuration; grows with each accepted change.
+/// Version of a routing configuration; increases with each accepted change.
 pub type Version = u64;
 
 /// Name of a service.
@@ -27,58 +28,60 @@
 /// Name of a region.
 pub type Region = SmolStr;
 
-/// Whether a request may run more than once.
+/// Whether a request may be sent again when its outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
-    /// It may be sent again whatever became of it.
+pub enum RetryPolicy {
+    /// The request may be sent again whatever happened to it before.
     Idempotent,
-    /// It may be sent again only when it certainly has not run.
+    /// The request may be sent again only when it certainly has not run.
     AtMostOnce,
 }
 
-/// One service that a route sends requests to.
+/// A service that a route sends requests to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share of the route's requests, relative to the other targets.
+    /// Weight of the service relative to the route's other targets.
     pub weight: f64,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name.
+    /// Name, unique in a table.
     pub name: RouteName,
-    /// Beginning of the paths that it serves.
+    /// Prefix of the paths that it matches.
     pub prefix: SmolStr,
-    /// What may be repeated.
-    pub repeat: Repeat,
-    /// Services that its requests go to; never empty.
+    /// Whether its requests may be sent again.
+    #[serde(rename = "repeat")]
+    pub retry_policy: RetryPolicy,
+    /// Services that its requests are distributed to; never empty.
     pub targets: Vec<Target>,
-    /// Upstreams that one request may be sent to at most.
+    /// Maximum number of upstreams that one request may be sent to.
     pub attempts: u32,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits for the response.
     pub timeout: Duration,
-    /// Time within which an answer is worth most to its caller.
+    /// Latency objective: the response time up to which a response is of full use to the caller.
     pub objective: Duration,
-    /// Rank among routes; 0 is the most urgent.
+    /// Priority among routes; 0 is the most urgent.
     pub priority: u32,
-    /// Regions whose upstreams may run its requests; any when there are none.
-    pub homes: Vec<Region>,
+    /// Regions whose upstreams may run its requests; all regions when empty.
+    #[serde(rename = "homes")]
+    pub allowed_regions: Vec<Region>,
 }
 
 impl Route {
     fn to_text(&self) -> String {
         let targets: Vec<String> =
             self.targets.iter().map(|t| format!("{}:{}", t.service, t.weight)).collect();
-        let repeat = match self.repeat {
-            Repeat::Idempotent => "idempotent",
-            Repeat::AtMostOnce => "at_most_once",
+        let repeat = match self.retry_policy {
+            RetryPolicy::Idempotent => "idempotent",
+            RetryPolicy::AtMostOnce => "at_most_once",
         };
-        let homes = match self.homes.is_empty() {
+        let homes = match self.allowed_regions.is_empty() {
             true => String::new(),
-            false => format!(" homes={}", self.homes.join(",")),
+            false => format!(" homes={}", self.allowed_regions.join(",")),
         };
         format!(
             "{} prefix={} repeat={repeat} targets={} attempts={} timeout_ms={} objective_ms={} priority={}{homes}",
@@ -93,35 +96,35 @@
     }
 }
 
-/// What is known of a service apart from its upstreams.
+/// Configuration of a service, without its upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path of the request that asks one of its upstreams how it is.
+    /// Path of the health probe.
     pub probe_path: SmolStr,
-    /// Connections that one upstream takes from all entry nodes together.
+    /// Maximum number of connections to one upstream from all entry nodes together.
     pub max_connections: u32,
-    /// Requests a second that one upstream bears from all entry nodes together while it warms up; `None`
-    /// where that is not bounded.
+    /// Maximum rate, in requests per second from all entry nodes together, that one upstream can take while
+    /// it warms up; `None` for no bound.
     pub warm_up_per_s: Option<f64>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on what callers send and how long they take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// Longest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Time for a request head to arrive in full.
+    /// Maximum time for a request head to arrive in full.
     pub header_timeout: Duration,
-    /// Time that a connection may stay open between two requests.
+    /// Maximum time that a connection may stay open between two requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
-    /// Bounds for a node that has no configuration yet; common defaults of HTTP servers.
+    /// Returns the limits of a node that has no configuration yet: common defaults of HTTP servers.
     fn default() -> Self {
         ClientLimits {
             header_bytes: 16 * 1024,
@@ -135,22 +138,22 @@
 /// One version of the routing configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// Version.
+    /// Version of the configuration.
     pub version: Version,
-    /// Version that its author changed; 0 when it does not say.
+    /// Version that its author based the change on; 0 when not stated.
     pub base_version: Version,
-    /// What callers may send.
+    /// Limits for callers.
     pub limits: ClientLimits,
     /// Services by name.
     pub services: HashMap<ServiceName, Service>,
     /// Routes by host, longest prefix first.
     hosts: HashMap<SmolStr, Vec<Route>>,
-    /// The most urgent rank among the routes to each service.
+    /// The most urgent priority among the routes to each service.
     most_urgent: HashMap<ServiceName, u32>,
 }
 
 impl Table {
-    /// Builds a table from its routes, each with the host that it belongs to.
+    /// Creates a table from its routes, each with the host that it belongs to; hosts are not case-sensitive.
     pub fn new(
         version: Version,
         limits: ClientLimits,
@@ -161,8 +164,8 @@
         table.services = services.into_iter().map(|s| (s.name.clone(), s)).collect();
         for (host, route) in routes {
             for target in &route.targets {
-                let rank = table.most_urgent.entry(target.service.clone()).or_insert(u32::MAX);
-                *rank = route.priority.min(*rank);
+                let priority = table.most_urgent.entry(target.service.clone()).or_insert(u32::MAX);
+                *priority = route.priority.min(*priority);
             }
             let host = SmolStr::from(host.to_ascii_lowercase());
             table.hosts.entry(host).or_default().push(route);
@@ -173,16 +176,17 @@
         table
     }
 
-    /// Returns the route of `path` at `host` (in lower case), by the longest prefix.
+    /// Returns the route with the longest prefix of `path` at `host`, which must be in lower case.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         self.hosts.get(host)?.iter().find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// Returns the regions in which the requests of a host may run: those that all of its routes with
-    /// homes allow, or else those that any of them does; `None` where none has homes.
-    pub fn homes_of(&self, host: &str) -> Option<BTreeSet<&Region>> {
-        let routes = self.hosts.get(host)?.iter().filter(|route| !route.homes.is_empty());
-        let sets = routes.map(|route| route.homes.iter().collect::<BTreeSet<&Region>>());
+    /// Returns the regions in which the requests of a host may run. Of the routes that restrict their
+    /// regions, these are the regions that all allow or, if there are none, those that any allows. Returns
+    /// `None` when no route restricts its regions.
+    pub fn allowed_regions_of(&self, host: &str) -> Option<BTreeSet<&Region>> {
+        let routes = self.hosts.get(host)?.iter().filter(|route| !route.allowed_regions.is_empty());
+        let sets = routes.map(|route| route.allowed_regions.iter().collect::<BTreeSet<&Region>>());
         let common = sets.clone().reduce(|one, other| &one & &other)?;
         match common.is_empty() {
             true => Some(sets.flatten().collect()),
@@ -192,10 +196,11 @@
 
     /// Returns true when no route to `service` is more urgent than `route`.
     pub fn is_most_urgent(&self, route: &Route, service: &str) -> bool {
-        self.most_urgent.get(service).is_none_or(|rank| route.priority <= *rank)
+        self.most_urgent.get(service).is_none_or(|priority| route.priority <= *priority)
     }
 
-    /// Returns the table as text, one line a service and route in a fixed order, for records and diffs.
+    /// Returns the table as text for records and diffs: one line per service and route, in a fixed order,
+    /// then one line with the limits.
     pub fn to_text(&self) -> String {
         let mut lines: Vec<String> = self
             .services
@@ -231,7 +236,7 @@
         self.hosts.values().flatten().map(|route| &route.name)
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
--- a/crates/route/src/split.rs
+++ b/crates/route/src/split.rs
@@ -1,27 +1,27 @@
-//! Dealing the requests of a split route out to its services.
+//! Distribution of the requests of a route among its services.
 
 use rand::Rng;
 
 use crate::Target;
 
-/// Whose turn it is at one split route of one entry node.
+/// Smooth weighted round robin for one route on one entry node.
 ///
-/// Smooth weighted round robin: after any number of requests each target has
-/// had its share to within one request. A random draw per request would be
-/// off by several percent over a few hundred requests, which shows as a
-/// canary release that gets twice the traffic it was given.
+/// After any number of requests each target has had its share to within one
+/// request. A random choice per request would be off by several percent over a
+/// few hundred requests, enough to send a canary release twice its share of
+/// the traffic.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct WeightedRoundRobin {
     weights: Vec<f64>,
     credit: Vec<f64>,
 }
 
-impl Turns {
+impl WeightedRoundRobin {
     /// Returns the index of the target that the next request goes to; 0 when there is only one.
     ///
-    /// Changed weights start over at a random point: entry nodes that
-    /// all began with the heaviest target would together starve the others
-    /// of their first requests.
+    /// After a change of the weights the sequence starts at a random position:
+    /// if all entry nodes began with the heaviest target, the other targets
+    /// would not get any of the first requests.
     pub fn next<R: Rng>(&mut self, targets: &[Target], rng: &mut R) -> usize {
         if targets.len() < 2 {
             return 0;
--- a/crates/route/src/tests.rs
+++ b/crates/route/src/tests.rs
@@ -3,19 +3,19 @@
 use proptest::prelude::*;
 use rand::SeedableRng;
 
-use crate::{ClientLimits, Repeat, Route, Table, Target, Turns};
+use crate::{ClientLimits, RetryPolicy, Route, Table, Target, WeightedRoundRobin};
 
 fn route(name: &str, prefix: &str, priority: u32) -> Route {
     Route {
         name: name.into(),
         prefix: prefix.into(),
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         targets: vec![Target { service: "desk".into(), weight: 1.0 }],
         attempts: 2,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(300),
         priority,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_most_urgent_routes_of_a_service_are_told_apart() {
+fn the_most_urgent_routes_of_a_service_are_recognized() {
     let table = table();
     let urgent = table.find("a.example", "/list/new/1").expect("routed");
     let less = table.find("a.example", "/list/1").expect("routed");
@@ -57,11 +57,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: a service with a tenth of a split's weight gets a fifth of its requests.
-    /// Sequence: requests come in any number; weights are as the operator set them.
-    /// Cause: an independent draw for each request instead of turns.
+    /// Guards against a service that gets twice its share of a route's requests because each request is
+    /// assigned by an independent random choice.
     #[test]
-    fn a_split_keeps_its_weights(
+    fn requests_are_distributed_by_weight(
         weights in prop::collection::vec(0u32..100, 2..5),
         requests in 1usize..500,
         seed: u64,
@@ -73,16 +72,16 @@
             .map(|w| Target { service: w.to_string().into(), weight: f64::from(*w) })
             .collect();
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
-        let mut turns = Turns::default();
-        let mut given = vec![0usize; weights.len()];
+        let mut round_robin = WeightedRoundRobin::default();
+        let mut assigned = vec![0usize; weights.len()];
         for _ in 0..requests {
-            given[turns.next(&targets, &mut rng)] += 1;
+            assigned[round_robin.next(&targets, &mut rng)] += 1;
         }
-        for (given, weight) in given.iter().zip(&weights) {
+        for (assigned, weight) in assigned.iter().zip(&weights) {
             let share = requests as f64 * f64::from(*weight) / f64::from(total);
-            let off = (*given as f64 - share).abs();
-            prop_assert!(off <= weights.len() as f64, "{given} of {requests}, due {share}");
-            prop_assert!(*weight > 0 || *given == 0);
+            let deviation = (*assigned as f64 - share).abs();
+            prop_assert!(deviation <= weights.len() as f64, "{assigned} of {requests}, expected {share}");
+            prop_assert!(*weight > 0 || *assigned == 0);
         }
     }
 }
