--- a/crates/oatcove/src/apply.rs
+++ b/crates/oatcove/src/apply.rs
@@ -155,7 +155,7 @@
     let wanted = proto::Evacuation { lifted: lift };
     let verb = if lift { "-evacuate" } else { "+evacuate" };
     let mark = Mark {
-        key: smol_str::format_smolstr!("{}{zone}", store::EVACUATED),
+        key: smol_str::format_smolstr!("{}{zone}", store::EVACUATED_PREFIX),
         kind: "zones",
         value: serde_json::to_string(&wanted).expect("evacuation encodes"),
         is_lifted: lift,
@@ -295,7 +295,7 @@
         Err(StoreError::Conflict(conflict)) => {
             Err(Failed::ForGood(ApplyError::Conflict(conflict.current_version)))
         }
-        Err(err @ (StoreError::Unknown(_) | StoreError::BadAnswer(_))) => {
+        Err(err @ (StoreError::Unknown(_) | StoreError::BadResponse(_))) => {
             *maybe_written = true;
             Err(Failed::ThisTime(err))
         }
--- a/crates/oatcove/src/main.rs
+++ b/crates/oatcove/src/main.rs
@@ -394,7 +394,7 @@
         }
     };
     for row in rows {
-        let Some(zone) = row.key.strip_prefix(store::EVACUATED) else { continue };
+        let Some(zone) = row.key.strip_prefix(store::EVACUATED_PREFIX) else { continue };
         let lifted = match serde_json::from_str::<store::proto::Evacuation>(&row.value) {
             Ok(evacuation) => evacuation.lifted,
             Err(err) => {
--- a/crates/oatcoved/src/follow.rs
+++ b/crates/oatcoved/src/follow.rs
@@ -98,7 +98,7 @@
 pub fn apply_drains(view: &mut View, rows: proto::Rows) {
     let mut changed = false;
     for row in rows.rows {
-        if let Some(zone) = row.key.strip_prefix(store::EVACUATED) {
+        if let Some(zone) = row.key.strip_prefix(store::EVACUATED_PREFIX) {
             let zone = SmolStr::from(zone);
             changed |= apply_evacuation(view, zone, row);
             continue;
--- a/crates/oatcoved/src/follow/tests.rs
+++ b/crates/oatcoved/src/follow/tests.rs
@@ -131,7 +131,7 @@
     apply_vm_changes(&mut view, 0, proto::VmChanges { head: 1, vms: vec![live()] });
     let zone = live().zone;
     let row = |version, value: &str| proto::Row {
-        key: format!("{}{zone}", store::EVACUATED).into(),
+        key: format!("{}{zone}", store::EVACUATED_PREFIX).into(),
         version,
         value: value.into(),
         change_id: "e".into(),
--- a/crates/oatcoved/src/view.rs
+++ b/crates/oatcoved/src/view.rs
@@ -231,7 +231,7 @@
     /// A drain names the VM's id: an address can come back on a new VM, which
     /// must get work although its predecessor at the address was drained.
     pub fn is_drained(&self, vm: &proto::Vm) -> bool {
-        self.drains.get(&vm.addr).is_some_and(|(drain, _)| drain.holds_for(vm))
+        self.drains.get(&vm.addr).is_some_and(|(drain, _)| drain.applies_to(vm))
     }
 
     /// Takes what `watcher` says of `upstream` and applies the worst that any watcher says.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,23 +1,25 @@
-//! The platform's table service and VM list, as seen by oatcove.
+//! Client of the platform's table service and VM list.
 //!
-//! [`proto`] holds the JSON shapes of the stand-in's HTTP protocol; [`Store`]
-//! is the client every role uses. What must last (templates, the audit trail)
-//! goes only through here: oatcove keeps no replicated state of its own.
+//! [`proto`] defines the JSON messages of the HTTP protocol that the platform
+//! stand-in serves; [`Store`] is the client that all oatcove programs use.
+//! Everything persistent (templates, the audit trail) is stored through it:
+//! oatcove keeps no replicated state of its own.
 
 pub mod proto;
 mod store;
 
 pub use store::{Store, StoreError};
 
-/// Table holding one row per service template, keyed by service name.
+/// Table with one row per service template, keyed by service name.
 pub const TEMPLATES: &str = "templates";
 
-/// Table holding one audit record per accepted change, keyed `service/change_id`.
+/// Table with one audit record per accepted change, keyed by `service/change_id`.
 pub const AUDIT: &str = "audit";
 
-/// Table holding one row per upstream an operator drained, keyed by its address, and per zone.
+/// Table with one row per drained upstream, keyed by its address, and one per evacuated availability zone,
+/// keyed by [`EVACUATED_PREFIX`] and the zone name.
 pub const DRAINS: &str = "drains";
 
-/// How keys in [`DRAINS`] begin that name an evacuated availability zone, [`proto::Evacuation`]: entry
-/// nodes read them with the drains.
-pub const EVACUATED: &str = "zone/";
+/// Prefix of keys in [`DRAINS`] that name an evacuated availability zone; the row's value is a
+/// [`proto::Evacuation`]. The rows share a table so that entry nodes read them together with the drains.
+pub const EVACUATED_PREFIX: &str = "zone/";
--- a/crates/store/src/proto.rs
+++ b/crates/store/src/proto.rs
@@ -1,131 +1,133 @@
-//! JSON shapes of the platform protocol (table service and VM list).
+//! JSON messages of the platform protocol (table service and VM list).
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Commit sequence number of the table service; a row's version is the commit that last wrote it.
+/// Commit sequence number of the table service; a row's version is that of the commit that last wrote it.
 pub type Version = u64;
 
-/// Identifier a writer picks for one change, so it can later tell whether the change landed.
+/// Identifier that a writer chooses for a change, so that it can later find out whether it was committed.
 pub type ChangeId = SmolStr;
 
-/// One row of a table.
+/// A row of a table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// Key within its table.
     pub key: SmolStr,
-    /// Commit that last wrote the row.
+    /// Version of the commit that last wrote the row.
     pub version: Version,
-    /// Stored text.
+    /// Text of the row.
     pub value: String,
     /// Change id of the commit that last wrote the row.
     pub change_id: ChangeId,
 }
 
-/// Rows of one table written after a given commit.
+/// The rows of one table that were written after a given commit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rows {
-    /// Latest commit of the whole service when the answer was made.
+    /// Latest commit of the whole table service when it made the response.
     pub head: Version,
-    /// Matching rows, by key.
+    /// Matching rows, sorted by key.
     pub rows: Vec<Row>,
 }
 
-/// One conditional write inside a transaction.
+/// A conditional write within a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// Table name.
+    /// Name of the table.
     pub table: SmolStr,
-    /// Row key.
+    /// Key of the row.
     pub key: SmolStr,
-    /// Version the writer read; 0 means the row must not exist yet.
+    /// Version that the writer read; 0 means that the row must not exist yet.
     pub expected_version: Version,
     /// New text of the row.
     pub value: String,
 }
 
-/// A transaction: all writes commit together under one version, or none does.
+/// A transaction: either all writes commit under one version, or none does.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Txn {
-    /// The writer's id for this change, stored on every written row.
+    /// The writer's identifier of the change, stored in every written row.
     pub change_id: ChangeId,
-    /// Conditional writes.
+    /// The writes of the transaction.
     pub writes: Vec<Write>,
 }
 
-/// Answer to a committed transaction.
+/// Response to a committed transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Committed {
-    /// Version given to every row the transaction wrote.
+    /// Version of every row that the transaction wrote.
     pub version: Version,
 }
 
-/// Answer to a transaction refused because a row changed since it was read.
+/// Response to a transaction that was rejected because a row has changed since it was read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Table of the first row whose version did not match.
+    /// Table of the first row with a version other than expected.
     pub table: SmolStr,
     /// Key of that row.
     pub key: SmolStr,
-    /// Its version now.
+    /// Current version of that row.
     pub current_version: Version,
 }
 
-/// Whether a VM is serving or on its way out.
+/// Lifecycle state of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
     /// Serving.
     Live,
-    /// Planned to stop; should get no new work.
+    /// About to stop; should get no new requests.
     Leaving,
-    /// No longer in the list; appears only in change feeds, so followers drop it.
+    /// Removed from the list; appears only in [`VmChanges`], to tell readers to drop the VM.
     Gone,
 }
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmRole {
-    /// An entry VM running `oatcoved`.
+    /// An entry VM, which runs `oatcoved`.
     Entry,
-    /// An upstream VM serving one service.
+    /// An upstream VM, which serves one service.
     Upstream,
 }
 
 /// One entry of the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Address callers or entry nodes connect to.
+    /// Address that callers (for entry VMs) or entry nodes (for upstreams) connect to.
     pub addr: std::net::SocketAddr,
     /// Availability zone.
     pub zone: SmolStr,
     /// Role of the VM.
     pub role: VmRole,
-    /// Service served, for upstreams; empty for entry VMs.
+    /// Service that an upstream VM serves; empty for entry VMs.
     #[serde(default)]
     pub service: SmolStr,
-    /// Live or leaving.
+    /// Lifecycle state.
     pub state: VmState,
-    /// Id of this VM, new for each VM; empty where the platform gives none.
+    /// Identifier of this VM, never reused; empty when the platform provides none.
     #[serde(default)]
     pub id: SmolStr,
 }
 
-/// Value of a row of the drains table, whose key is the upstream's address.
+/// Value of a row of the drains table whose key is an upstream's address.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Id of the VM drained; empty when the VM list gave none, and in rows of before ids.
+    /// Identifier of the drained VM; empty when the VM list provided none, and in rows written before VMs
+    /// had identifiers.
     #[serde(default)]
     pub vm_id: SmolStr,
-    /// Whether an operator took the drain back.
+    /// Whether an operator has lifted the drain.
     #[serde(default)]
     pub lifted: bool,
 }
 
 impl Drain {
-    /// Returns true when the drain is in force for `vm`.
-    pub fn holds_for(&self, vm: &Vm) -> bool {
+    /// Returns true when the drain is in force for `vm`, which must be the VM at the row's address. An
+    /// empty identifier matches any VM.
+    pub fn applies_to(&self, vm: &Vm) -> bool {
         !self.lifted && (self.vm_id.is_empty() || vm.id.is_empty() || self.vm_id == vm.id)
     }
 }
@@ -133,7 +135,7 @@
 /// Value of a row of the drains table whose key names an availability zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
-    /// Whether an operator took it back.
+    /// Whether an operator has lifted the evacuation.
     #[serde(default)]
     pub lifted: bool,
 }
@@ -141,31 +143,32 @@
 /// Changes of the VM list after a given version, from `GET /v1/vms?since=V`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmChanges {
-    /// Version of the newest change included; ask with it next time.
+    /// Version of the newest change included, from which to read next time.
     pub head: Version,
-    /// The latest state of every VM that changed, `Gone` for those removed.
+    /// Latest state of every changed VM; [`VmState::Gone`] for removed ones.
     pub vms: Vec<Vm>,
 }
 
-/// Faults the platform stand-in injects, set through `POST /v1/faults`.
+/// Faults that the platform stand-in injects, set with `POST /v1/faults`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Faults {
-    /// Every request fails with 503 while true.
+    /// While true, every request fails with status 503.
     #[serde(default)]
     pub outage: bool,
-    /// Added delay before each answer.
+    /// Delay added before each response, in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
-    /// The next this many committed transactions drop their answer (the write stays).
+    /// Number of upcoming transactions that commit but get no response.
     #[serde(default)]
     pub lose_acks: u64,
-    /// The next this many transactions get no answer and are only tried after [`Faults::late_ms`].
+    /// Number of upcoming transactions that get no response and are executed only after
+    /// [`Faults::late_ms`].
     #[serde(default)]
     pub late_commits: u64,
-    /// How much later.
+    /// Delay of late transactions, in milliseconds.
     #[serde(default)]
     pub late_ms: u64,
-    /// How far behind the truth the VM list is served.
+    /// How far the served VM list lags behind the actual one, in milliseconds.
     #[serde(default)]
     pub vm_lag_ms: u64,
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's table service and VM list.
+//! HTTP client of the platform's table service and VM list.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,49 +9,49 @@
 
 use crate::proto;
 
-/// Deadline of one call to the platform.
+/// Timeout for connecting to the platform, and for one request to it.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 quick_error! {
-    /// Why a call to the platform failed.
+    /// The reason why a request to the platform failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum StoreError {
-        /// The platform could not be reached or said it is unavailable; nothing was written.
+        /// The platform could not be reached or reported that it is unavailable; nothing was written.
         Unavailable(message: String) {
             display("platform unavailable: {}", message)
         }
-        /// A transaction was refused: a row changed since it was read.
+        /// A transaction was rejected because a row has changed since it was read.
         Conflict(conflict: proto::Conflict) {
             display("conflict: {}/{} is now at version {}", conflict.table, conflict.key, conflict.current_version)
         }
-        /// The request was sent but no answer came: the write may or may not have taken effect.
+        /// The request was sent but got no response; the write may or may not have taken effect.
         Unknown(message: String) {
             display("outcome unknown: {}", message)
         }
-        /// The platform answered something this client cannot read.
-        BadAnswer(message: String) {
-            display("bad answer from platform: {}", message)
+        /// The platform sent a response with an unexpected status or a body that cannot be decoded.
+        BadResponse(message: String) {
+            display("bad response from platform: {}", message)
         }
     }
 }
 
-/// A client of the platform at one address, keeping one connection open.
+/// A client of the platform at one address, which keeps one connection open.
 pub struct Store {
     addr: SocketAddr,
     conn: RefCell<Option<web::Conn>>,
 }
 
 impl Store {
-    /// Creates a client for the platform at `addr`; connects lazily.
+    /// Creates a client of the platform at `addr`. It connects with the first request.
     pub fn new(addr: SocketAddr) -> Store {
         Store { addr, conn: RefCell::new(None) }
     }
 
-    /// Reads one row; `None` when it does not exist.
+    /// Reads one row; returns `None` when it does not exist.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] or [`StoreError::BadAnswer`].
+    /// [`StoreError::Unavailable`] or [`StoreError::BadResponse`].
     pub async fn get(&self, table: &str, key: &str) -> Result<Option<proto::Row>, StoreError> {
         let response =
             self.call(http::Method::GET, &format!("/v1/rows/{table}/{key}"), Bytes::new()).await;
@@ -63,11 +63,11 @@
         }
     }
 
-    /// Reads every row of `table` written after commit `since`, with the service's head.
+    /// Reads every row of `table` written after commit `since`, and the table service's latest commit.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] or [`StoreError::BadAnswer`].
+    /// [`StoreError::Unavailable`] or [`StoreError::BadResponse`].
     pub async fn since(
         &self,
         table: &str,
@@ -76,16 +76,18 @@
         self.read(&format!("/v1/rows/{table}?since={since}")).await
     }
 
-    /// Commits `txn`, all writes or none.
+    /// Commits all writes of `txn`, or none.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] when a row moved on; [`StoreError::Unknown`]
-    /// when the answer was lost after sending, so the caller must read back
-    /// the change id to learn the outcome; [`StoreError::Unavailable`] when
-    /// nothing was sent or the platform refused before writing.
+    /// [`StoreError::Conflict`] when a row has changed since it was read;
+    /// [`StoreError::Unknown`] when the request may have been sent but got no
+    /// response, so that the caller must read back the change id to learn the
+    /// outcome; [`StoreError::Unavailable`] when nothing was sent or the
+    /// platform refused before writing; [`StoreError::BadResponse`].
     pub async fn commit(&self, txn: &proto::Txn) -> Result<proto::Committed, StoreError> {
-        let body = Bytes::from(serde_json::to_vec(txn).expect("txn encodes"));
+        let body =
+            Bytes::from(serde_json::to_vec(txn).expect("transaction can be serialized as JSON"));
         let response = match self.call(http::Method::POST, "/v1/txn", body).await {
             Ok(response) => response,
             Err(web::Error::Connect(message)) => return Err(StoreError::Unavailable(message)),
@@ -98,28 +100,29 @@
         }
     }
 
-    /// Reads the VM list, which may lag the truth.
+    /// Reads the VM list, which may lag behind the actual VMs.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] or [`StoreError::BadAnswer`].
+    /// [`StoreError::Unavailable`] or [`StoreError::BadResponse`].
     pub async fn vms(&self) -> Result<Vec<proto::Vm>, StoreError> {
         self.read("/v1/vms").await
     }
 
     /// Reads the changes of the VM list after version `since`; 0 reads the whole list.
     ///
-    /// An empty answer costs a few hundred bytes whatever the size of the
-    /// list, where a whole-list read costs about 105 B per VM (docs/CAPACITY.md).
+    /// A response without changes takes a few hundred bytes whatever the size
+    /// of the list, and the whole list about 105 bytes per VM
+    /// (docs/CAPACITY.md).
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unavailable`] or [`StoreError::BadAnswer`].
+    /// [`StoreError::Unavailable`] or [`StoreError::BadResponse`].
     pub async fn vm_changes(&self, since: proto::Version) -> Result<proto::VmChanges, StoreError> {
         self.read(&format!("/v1/vms?since={since}")).await
     }
 
-    /// Reads `path` and decodes a 200 answer.
+    /// Reads `path` and decodes the body of a response with status 200.
     async fn read<T: serde::de::DeserializeOwned>(&self, path: &str) -> Result<T, StoreError> {
         let response =
             self.call(http::Method::GET, path, Bytes::new()).await.map_err(read_error)?;
@@ -129,18 +132,18 @@
         }
     }
 
-    /// Sends one request on the kept connection, opening it first when needed.
+    /// Sends one request on the open connection, connecting first when there is none.
     ///
-    /// A failed exchange drops the connection: its stream may be mid-message.
+    /// A failed request closes the connection, since its stream may be in the middle of a message.
     async fn call(
         &self,
         method: http::Method,
         path: &str,
         body: Bytes,
     ) -> Result<web::Response, web::Error> {
-        // The borrow ends here: a second call made while this one awaits must not find it held.
-        let kept = self.conn.borrow_mut().take();
-        let mut conn = match kept {
+        // Ends the borrow before the first await: a concurrent call must be able to borrow the cell.
+        let open = self.conn.borrow_mut().take();
+        let mut conn = match open {
             Some(conn) => conn,
             None => web::Conn::connect(self.addr, CALL_TIMEOUT).await?,
         };
@@ -149,7 +152,7 @@
             .uri(path)
             .header(http::header::HOST, self.addr.to_string())
             .body(body)
-            .expect("request builds");
+            .expect("request has a valid method, path and host");
         let response = conn.send(request, CALL_TIMEOUT).await?;
         *self.conn.borrow_mut() = Some(conn);
         Ok(response)
@@ -164,10 +167,10 @@
     let text = String::from_utf8_lossy(body);
     match status {
         http::StatusCode::SERVICE_UNAVAILABLE => StoreError::Unavailable(text.into_owned()),
-        _ => StoreError::BadAnswer(format!("status {status}: {text}")),
+        _ => StoreError::BadResponse(format!("status {status}: {text}")),
     }
 }
 
 fn decode<T: serde::de::DeserializeOwned>(body: &Bytes) -> Result<T, StoreError> {
-    serde_json::from_slice(body).map_err(|err| StoreError::BadAnswer(err.to_string()))
+    serde_json::from_slice(body).map_err(|err| StoreError::BadResponse(err.to_string()))
 }
