--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,79 +1,80 @@
 //! Audit records of accepted configuration changes.
 //!
-//! A record is committed in the same transaction as the template it
-//! describes, so the trail can hold neither a change that did not happen nor
-//! miss one that did.
+//! A [`Record`] is committed in the same transaction as the template that it
+//! describes, so the audit trail has a record of every change that happened
+//! and of no other.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// One accepted change of one template.
+/// An accepted change of one template.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The writer's change id, also stored on the template row.
+    /// The writer's change id, also stored in the template row.
     pub change_id: SmolStr,
     /// Service whose template changed.
     pub service: SmolStr,
-    /// Who applied it, as the operator named themselves.
+    /// Who applied the change: the name that the operator gave.
     pub actor: SmolStr,
-    /// When the CLI sent it, in milliseconds since the Unix epoch.
+    /// When the CLI sent the change, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// Version of the template row that was read before the change; 0 for a new template.
+    /// Version of the template row before the change; 0 for a new template.
     pub version_before: u64,
-    /// Unified diff of the template text, old to new.
+    /// Unified diff from the old template text to the new one.
     pub diff: String,
 }
 
 impl Record {
-    /// Encodes the record as the JSON text stored in the audit table.
+    /// Returns the record as JSON text, as stored in the audit table.
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("record encodes")
+        serde_json::to_string(self).expect("record can be serialized as JSON")
     }
 
-    /// Decodes a stored record.
+    /// Parses a stored record.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's message when the text is not a record.
+    /// Returns the JSON parser's message when `text` is not a record.
     pub fn from_json(text: &str) -> Result<Record, String> {
         serde_json::from_str(text).map_err(|err| err.to_string())
     }
 }
 
-/// One version of the routing configuration, as the entry nodes came to hold it.
+/// A version of the routing configuration that an entry node has applied.
 ///
-/// Where operators write the configuration to the platform themselves, the
-/// entry nodes see versions and not authors. The record tells what changed
-/// against the version held before, and which version the author had changed:
-/// where the two differ, versions in between were never seen.
+/// Where operators write the configuration to the platform directly, entry
+/// nodes see versions but not their authors. The record contains the diff to
+/// the version that the node held before, and the version that the author
+/// started from. If these two versions differ, the node has missed versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
-    /// The version.
+    /// The applied version.
     pub version: u64,
-    /// The version that its author changed; 0 when it does not say.
+    /// The version that its author started from; 0 when not stated.
     pub base_version: u64,
-    /// The version that the recording node held before; 0 when it held none.
+    /// The version that the node held before; 0 when it held none.
     pub held_before: u64,
-    /// The recording node.
+    /// Identifier of the node.
     pub node_id: SmolStr,
-    /// When that node took it on, in milliseconds since the Unix epoch.
+    /// When the node applied the version, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// Unified diff against the version held before.
+    /// Unified diff from the version held before.
     pub diff: String,
-    /// Lines of the diff that were left out for want of room.
+    /// Number of lines that were cut from the end of the diff to fit the size limit.
     pub diff_lines_left_out: usize,
 }
 
 impl VersionRecord {
-    /// Shortens the diff to at most `most_bytes`, at the end of a line.
-    pub fn bound_diff(&mut self, most_bytes: usize) {
-        if self.diff.len() <= most_bytes {
+    /// Truncates the diff after its last whole line within `max_bytes`, and records the number of lines
+    /// cut.
+    pub fn truncate_diff(&mut self, max_bytes: usize) {
+        if self.diff.len() <= max_bytes {
             return;
         }
         let mut kept = 0;
         let mut lines = 0;
         for line in self.diff.split_inclusive('\n') {
-            match kept + line.len() <= most_bytes {
+            match kept + line.len() <= max_bytes {
                 true => kept += line.len(),
                 false => lines += 1,
             }
@@ -85,16 +86,16 @@
         self.diff.truncate(kept);
     }
 
-    /// Encodes the record as JSON.
+    /// Returns the record as JSON text.
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("record encodes")
+        serde_json::to_string(self).expect("record can be serialized as JSON")
     }
 
-    /// Decodes a stored record.
+    /// Parses a stored record.
     ///
     /// # Errors
     ///
-    /// Returns the decoder's message when the text is not a record.
+    /// Returns the JSON parser's message when `text` is not a record.
     pub fn from_json(text: &str) -> Result<VersionRecord, String> {
         serde_json::from_str(text).map_err(|err| err.to_string())
     }
--- a/crates/edge/src/record.rs
+++ b/crates/edge/src/record.rs
@@ -157,6 +157,6 @@
         diff: audit::diff(&old, &text(&table)),
         diff_lines_left_out: 0,
     };
-    record.bound_diff(DIFF_MOST_BYTES);
+    record.truncate_diff(DIFF_MOST_BYTES);
     Some(record)
 }
