--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -15,7 +15,7 @@
 const REQUEST_SECONDS: [f64; 13] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 5.0, 10.0];
 
-const COUNTERS: [meter::Named<Counters>; 19] = [
+const COUNTERS: [meter::CounterSpec<Counters>; 19] = [
     ("oatcove_requests", "Requests received", |c| c.requests),
     ("oatcove_answered", "Requests answered by an upstream", |c| c.answered),
     ("oatcove_refused", "Requests refused at once; they did not run", |c| c.refused),
@@ -119,7 +119,7 @@
         self.leaving.record(state.notices.leaving_count(now) as u64, &[]);
         self.resting.record(state.notices.backoff_count(now) as u64, &[]);
         self.zones_evacuated.record(state.evacuations.zones().len() as u64, &[]);
-        self.lines_dropped.record(trace::dropped(), &[]);
+        self.lines_dropped.record(trace::dropped_lines(), &[]);
         self.carried.scrape(&state.counters)
     }
 }
--- a/crates/edge/src/stop.rs
+++ b/crates/edge/src/stop.rs
@@ -105,7 +105,7 @@
                 .field("in_flight", in_flight)
                 .field("took_ms", passed.as_millis() as u64)
                 .log();
-            trace::finish(LAST_LINES);
+            trace::flush_and_wait(LAST_LINES);
             return;
         }
     }
--- a/crates/meter/src/lib.rs
+++ b/crates/meter/src/lib.rs
@@ -1,8 +1,8 @@
-//! Metrics by opentelemetry, as text for a scrape.
+//! OpenTelemetry metrics, exported as Prometheus text.
 //!
-//! The request path counts in plain integers of its own; a scrape carries
-//! what was added since the last one over into the instruments. Only
-//! histograms are recorded as things happen.
+//! The request path increments plain integers; each scrape adds their increase
+//! since the last scrape to the OpenTelemetry counters. Only histograms are
+//! recorded at the time of the event.
 
 use std::cell::RefCell;
 
@@ -12,46 +12,46 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why metrics could not be had.
+    /// The reason why metrics are not available.
     #[derive(Debug)]
     pub enum Error {
-        /// The exporter could not be set up.
+        /// The exporter could not be created.
         Setup(message: String) {
-            display("metrics cannot be set up: {}", message)
+            display("cannot set up metrics: {}", message)
         }
-        /// The text could not be written.
+        /// The metrics could not be encoded as text.
         Encode(message: String) {
-            display("metrics cannot be written: {}", message)
+            display("cannot encode metrics: {}", message)
         }
     }
 }
 
-/// Name, description and value of a counter that is kept in a `C`.
-pub type Named<C> = (&'static str, &'static str, fn(&C) -> u64);
+/// Name, description and getter of a counter whose value is kept in a `C`.
+pub type CounterSpec<C> = (&'static str, &'static str, fn(&C) -> u64);
 
-/// One counter and where its value stands.
-struct Carried<C> {
+/// A counter and the value that was last exported.
+struct ExportedCounter<C> {
     instrument: Counter<u64>,
     read: fn(&C) -> u64,
-    carried: u64,
+    exported: u64,
 }
 
-/// The instruments of one process.
+/// The metrics of one process, with counters that are kept in a `C`.
 pub struct Metrics<C> {
     registry: Registry,
     meter: Meter,
-    /// Kept alive: instruments stop recording once their provider is gone.
+    /// Kept because instruments stop recording once their provider is dropped.
     _provider: SdkMeterProvider,
-    counters: RefCell<Vec<Carried<C>>>,
+    counters: RefCell<Vec<ExportedCounter<C>>>,
 }
 
 impl<C> Metrics<C> {
-    /// Sets the instruments of `scope` up, with these counters.
+    /// Creates the metrics of the instrumentation scope `scope`, with the given counters.
     ///
     /// # Errors
     ///
-    /// [`Error::Setup`] when the exporter refuses its settings.
-    pub fn new(scope: &'static str, counters: &[Named<C>]) -> Result<Metrics<C>, Error> {
+    /// [`Error::Setup`] when the exporter cannot be created.
+    pub fn new(scope: &'static str, counters: &[CounterSpec<C>]) -> Result<Metrics<C>, Error> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
@@ -61,16 +61,16 @@
             .map_err(|err| Error::Setup(err.to_string()))?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter(scope);
-        let carried = |(name, description, read): &Named<C>| Carried {
+        let exported = |(name, description, read): &CounterSpec<C>| ExportedCounter {
             instrument: meter.u64_counter(*name).with_description(*description).build(),
             read: *read,
-            carried: 0,
+            exported: 0,
         };
-        let counters = RefCell::new(counters.iter().map(carried).collect());
+        let counters = RefCell::new(counters.iter().map(exported).collect());
         Ok(Metrics { registry, meter, _provider: provider, counters })
     }
 
-    /// Creates a histogram of times in seconds with these bounds.
+    /// Creates a histogram of times in seconds, with bucket boundaries `bounds_s` in seconds.
     pub fn seconds(
         &self,
         name: &'static str,
@@ -81,21 +81,21 @@
         histogram.with_boundaries(bounds_s.to_vec()).build()
     }
 
-    /// Creates a gauge.
+    /// Creates a gauge without a description.
     pub fn gauge(&self, name: &'static str) -> Gauge<u64> {
         self.meter.u64_gauge(name).build()
     }
 
-    /// Returns the text of a scrape, with the counters as they are `now`.
+    /// Returns all metrics as Prometheus text, with the counters updated to their values in `now`.
     ///
     /// # Errors
     ///
-    /// [`Error::Encode`] when the text cannot be written.
+    /// [`Error::Encode`] when the metrics cannot be encoded.
     pub fn scrape(&self, now: &C) -> Result<String, Error> {
         for counter in self.counters.borrow_mut().iter_mut() {
             let value = (counter.read)(now);
-            counter.instrument.add(value.saturating_sub(counter.carried), &[]);
-            counter.carried = value;
+            counter.instrument.add(value.saturating_sub(counter.exported), &[]);
+            counter.exported = value;
         }
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,14 +1,13 @@
 //! Structured log lines on standard output, one JSON object each.
 //!
-//! Each thread collects its lines in a [`Line`] buffer; [`flush`] hands what
-//! was collected to a thread that writes it. A reader of standard output that
-//! is slow or stopped costs lines, never time: when the writing thread is
-//! behind, lines are dropped and the number dropped is told in the next
-//! line that gets through. Lines beyond [`LINES_PER_FLUSH`] between two
-//! flushes are dropped the same way, so an overload cannot turn into a flood
-//! of lines that makes it worse.
+//! Each thread buffers its [`Line`]s; [`flush`] passes the buffer to a writer
+//! thread. A slow or stopped reader of standard output therefore costs lines
+//! but never blocks a thread that logs: while the writer thread is behind,
+//! lines are dropped, and the next line that gets through states how many.
+//! Lines beyond [`MAX_LINES_PER_FLUSH`] between two flushes are dropped in the
+//! same way, so that logging cannot make an overload worse.
 //!
-//! The schema is in docs/ops/logs.md.
+//! The schema of the lines is in docs/ops/logs.md.
 
 use std::cell::RefCell;
 use std::io::Write;
@@ -18,53 +17,55 @@
 
 use serde::Serialize;
 
-/// Lines kept between two flushes.
-pub const LINES_PER_FLUSH: usize = 100;
+/// Maximum number of lines that a thread buffers between two flushes.
+pub const MAX_LINES_PER_FLUSH: usize = 100;
 
-/// Buffers waiting for the writing thread before lines are dropped.
-const BUFFERS_WAITING: usize = 8;
+/// Maximum number of buffers queued for the writer thread; beyond it, lines are dropped.
+const MAX_QUEUED_BUFFERS: usize = 8;
 
-/// Stack of the writing thread, in bytes: it only copies buffers to a pipe.
+/// Stack size of the writer thread. It is small because the thread only copies buffers to a pipe.
 const WRITER_STACK_BYTES: usize = 64 * 1024;
 
+/// The lines that one thread has logged since its last flush.
 #[derive(Default)]
-struct Collected {
+struct ThreadBuffer {
     bytes: Vec<u8>,
     lines: usize,
-    /// Lines dropped and not told of yet.
+    /// Number of dropped lines that are not reported yet.
     dropped: u64,
-    /// Lines dropped since start.
-    dropped_in_all: u64,
+    /// Number of lines dropped since the thread started.
+    dropped_total: u64,
 }
 
 thread_local! {
-    static COLLECTED: RefCell<Collected> = RefCell::default();
+    static BUFFER: RefCell<ThreadBuffer> = RefCell::default();
 }
 
-/// What the writing thread is told.
-enum Order {
+/// A message to the writer thread.
+enum Message {
     Write(Vec<u8>),
-    /// Everything before this is written: say so.
-    Done(SyncSender<()>),
+    /// Requests a reply once all earlier messages are processed.
+    Flush(SyncSender<()>),
 }
 
-static WRITER: OnceLock<SyncSender<Order>> = OnceLock::new();
+static WRITER: OnceLock<SyncSender<Message>> = OnceLock::new();
 
-/// Starts the writing thread; lines logged without it are collected and dropped.
+/// Starts the writer thread, which writes to `out`. Without it, [`flush`] drops all lines. Further calls
+/// have no effect on where lines go.
 ///
 /// # Errors
 ///
-/// Whatever the operating system says when it refuses a thread.
+/// Returns the operating system's error when the thread cannot be created.
 pub fn start<W: Write + Send + 'static>(mut out: W) -> std::io::Result<()> {
-    let (sender, receiver) = sync_channel::<Order>(BUFFERS_WAITING);
+    let (sender, receiver) = sync_channel::<Message>(MAX_QUEUED_BUFFERS);
     std::thread::Builder::new().name("log".to_owned()).stack_size(WRITER_STACK_BYTES).spawn(
         move || {
-            for order in receiver {
-                match order {
-                    // Nobody is left to tell when standard output is gone.
-                    Order::Write(bytes) => drop(out.write_all(&bytes).and_then(|()| out.flush())),
-                    // The process may no longer wait for the answer.
-                    Order::Done(written) => drop(written.try_send(())),
+            for message in receiver {
+                match message {
+                    // An error is ignored: without standard output it cannot be reported.
+                    Message::Write(bytes) => drop(out.write_all(&bytes).and_then(|()| out.flush())),
+                    // The receiver may have stopped waiting.
+                    Message::Flush(reply) => drop(reply.try_send(())),
                 }
             }
         },
@@ -73,85 +74,87 @@
     Ok(())
 }
 
-/// Hands the lines collected on this thread to the writing thread; never blocks.
+/// Passes the lines buffered on this thread to the writer thread; never blocks.
 pub fn flush() {
-    COLLECTED.with_borrow_mut(|collected| {
-        if collected.dropped > 0 {
-            let dropped = std::mem::take(&mut collected.dropped);
-            append(collected, Line::new("lines_dropped").field("count", dropped));
+    BUFFER.with_borrow_mut(|buffer| {
+        if buffer.dropped > 0 {
+            let dropped = std::mem::take(&mut buffer.dropped);
+            append(buffer, Line::new("lines_dropped").field("count", dropped));
         }
-        collected.lines = 0;
-        if collected.bytes.is_empty() {
+        buffer.lines = 0;
+        if buffer.bytes.is_empty() {
             return;
         }
-        let bytes = std::mem::take(&mut collected.bytes);
+        let bytes = std::mem::take(&mut buffer.bytes);
         let lines = bytes.iter().filter(|byte| **byte == b'\n').count() as u64;
-        match WRITER.get().map(|writer| writer.try_send(Order::Write(bytes))) {
+        match WRITER.get().map(|writer| writer.try_send(Message::Write(bytes))) {
             Some(Ok(())) => {}
             Some(Err(TrySendError::Full(_) | TrySendError::Disconnected(_))) | None => {
-                collected.dropped += lines;
-                collected.dropped_in_all += lines;
+                buffer.dropped += lines;
+                buffer.dropped_total += lines;
             }
         }
     });
 }
 
-/// Returns how many lines of this thread were dropped since start.
-pub fn dropped() -> u64 {
-    COLLECTED.with_borrow(|collected| collected.dropped_in_all)
+/// Returns the number of lines that this thread has dropped since it started.
+pub fn dropped_lines() -> u64 {
+    BUFFER.with_borrow(|buffer| buffer.dropped_total)
 }
 
-/// Flushes and waits up to `timeout` until everything is written: the last lines of a process
-/// tell why it ended, and the process would otherwise end before they are out.
-pub fn finish(timeout: Duration) {
+/// Flushes and waits up to `timeout` until everything is written.
+///
+/// For use before the process exits: its last lines state why it ended, and would otherwise be lost.
+/// Returns at once when the queue of the writer thread is full.
+pub fn flush_and_wait(timeout: Duration) {
     flush();
-    let (written, done) = sync_channel(1);
-    if WRITER.get().is_some_and(|writer| writer.try_send(Order::Done(written)).is_ok()) {
-        let _ = done.recv_timeout(timeout);
+    let (reply, written) = sync_channel(1);
+    if WRITER.get().is_some_and(|writer| writer.try_send(Message::Flush(reply)).is_ok()) {
+        let _ = written.recv_timeout(timeout);
     }
 }
 
-fn append(collected: &mut Collected, mut line: Line) {
+fn append(buffer: &mut ThreadBuffer, mut line: Line) {
     line.bytes.extend_from_slice(b"}\n");
-    collected.bytes.extend_from_slice(&line.bytes);
+    buffer.bytes.extend_from_slice(&line.bytes);
 }
 
-/// One line in the making.
+/// A log line under construction.
 pub struct Line {
     bytes: Vec<u8>,
 }
 
 impl Line {
-    /// Begins a line about `event`, stamped with the time of day.
+    /// Creates a line with the name of the event and the current wall-clock time.
     pub fn new(event: &'static str) -> Line {
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
         let bytes = format!("{{\"unix_ms\":{unix_ms},\"event\":\"{event}\"").into_bytes();
         Line { bytes }
     }
 
-    /// Adds a field.
+    /// Adds a field. It is left out when `value` cannot be serialized as JSON.
     pub fn field<T: Serialize>(mut self, name: &'static str, value: T) -> Line {
         let before = self.bytes.len();
         self.bytes.extend_from_slice(b",\"");
         self.bytes.extend_from_slice(name.as_bytes());
         self.bytes.extend_from_slice(b"\":");
         if serde_json::to_writer(&mut self.bytes, &value).is_err() {
-            // Half a value would make the whole line unreadable.
+            // A partly written value would make the whole line invalid JSON.
             self.bytes.truncate(before);
         }
         self
     }
 
-    /// Collects the line for the next [`flush`].
+    /// Buffers the line until the next [`flush`].
     pub fn log(self) {
-        COLLECTED.with_borrow_mut(|collected| match collected.lines < LINES_PER_FLUSH {
+        BUFFER.with_borrow_mut(|buffer| match buffer.lines < MAX_LINES_PER_FLUSH {
             true => {
-                collected.lines += 1;
-                append(collected, self);
+                buffer.lines += 1;
+                append(buffer, self);
             }
             false => {
-                collected.dropped += 1;
-                collected.dropped_in_all += 1;
+                buffer.dropped += 1;
+                buffer.dropped_total += 1;
             }
         });
     }
