--- a/crates/notice/src/backpressure.rs
+++ b/crates/notice/src/backpressure.rs
@@ -164,7 +164,8 @@
         Backpressure { node_seed, ..Backpressure::default() }
     }
 
-    /// Returns true when no backpressure is in force for any upstream.
+    /// Returns true when no upstream is tracked. Expired backpressure counts until
+    /// [`Backpressure::expire`] is called.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -424,7 +425,7 @@
         backoffs.filter(|backoff| !backoff.is_over(now)).count()
     }
 
-    /// Returns the backpressure in force for an upstream; `None` when there is none.
+    /// Returns the backpressure in force for an upstream, or `None` if there is none.
     pub fn status(&self, start: Start, now: Instant) -> Option<Noted> {
         let entry = self.entries.get(&start)?;
         let limit = entry.limit.as_ref().filter(|limit| limit.current(now).is_some());
