--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -95,7 +95,7 @@
     /// Its newest report; `None` before the first.
     pub report: Option<Report>,
     /// What it has stated about itself; `None` when nothing stands.
-    pub noted: Option<notice::Noted>,
+    pub noted: Option<notice::BackpressureStatus>,
 }
 
 /// What an upstream said of its load.
--- a/crates/notice/src/backpressure.rs
+++ b/crates/notice/src/backpressure.rs
@@ -92,7 +92,7 @@
 
 /// The backpressure in force for one upstream, for the node's status output.
 #[derive(Clone, Debug, Serialize)]
-pub struct Noted {
+pub struct BackpressureStatus {
     /// Limit on the request rate from all nodes together, in requests per 1,000 seconds.
     pub limit_per_ks: Option<PerKs>,
     /// This node's share of the limit, in requests per second; 0 without a limit.
@@ -426,10 +426,10 @@
     }
 
     /// Returns the backpressure in force for an upstream, or `None` if there is none.
-    pub fn status(&self, start: Start, now: Instant) -> Option<Noted> {
+    pub fn status(&self, start: Start, now: Instant) -> Option<BackpressureStatus> {
         let entry = self.entries.get(&start)?;
         let limit = entry.limit.as_ref().filter(|limit| limit.current(now).is_some());
-        let status = Noted {
+        let status = BackpressureStatus {
             limit_per_ks: limit.and_then(|limit| limit.current(now)),
             share_per_s: limit.map_or(0.0, Limit::share_per_s),
             leaving: entry.leaves(now),
--- a/crates/notice/src/lib.rs
+++ b/crates/notice/src/lib.rs
@@ -16,7 +16,7 @@
 mod signals;
 
 pub use backpressure::{
-    Backpressure, Change, Moment, NewNotice, Noted, Notice, Statement, MAX_RETRY_AFTER,
+    Backpressure, BackpressureStatus, Change, Moment, NewNotice, Notice, Statement, MAX_RETRY_AFTER,
 };
 pub use share::Fleet;
 pub use signals::{Field, HeaderNames, Signals};
--- a/crates/oatcoved/src/view.rs
+++ b/crates/oatcoved/src/view.rs
@@ -192,7 +192,7 @@
     /// Latency EWMA, in milliseconds.
     pub latency_ewma_ms: f64,
     /// What it has stated about itself; `None` when nothing stands.
-    pub noted: Option<notice::Noted>,
+    pub noted: Option<notice::BackpressureStatus>,
 }
 
 impl View {
