--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -156,17 +156,18 @@
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
         let pool = state.pools.get(&call.service);
-        let homes = state.settings.home_zones(&call.route.homes);
+        let homes = state.settings.home_zones(&call.route.allowed_regions);
         let may_serve = |u: &&place::Upstream| {
             let is_home = homes.as_ref().is_none_or(|homes| homes.contains(&u.zone));
             is_home && !state.evacuations.is_evacuated(&u.zone)
         };
         let upstreams = pool.into_iter().flat_map(|pool| pool.upstreams()).filter(may_serve);
         let starts = upstreams.map(|u| start_of(&u.incarnation));
-        let come_back = state.notices.opens_in(starts, now).map_or(COME_BACK_NOT_READY, |left| {
-            let spread = 1.0 + COME_BACK_SPREAD * state.rng.random::<f64>();
-            left.mul_f64(spread).clamp(COME_BACK_LEAST, notice::OPENS_IN_MOST)
-        });
+        let come_back =
+            state.notices.retry_after(starts, now).map_or(COME_BACK_NOT_READY, |left| {
+                let spread = 1.0 + COME_BACK_SPREAD * state.rng.random::<f64>();
+                left.mul_f64(spread).clamp(COME_BACK_LEAST, notice::MAX_RETRY_AFTER)
+            });
         NoChoice::NoUpstream { come_back }
     }
 
@@ -175,7 +176,7 @@
         let now = Instant::now();
         state.deal_limits(now);
         let Some(pool) = state.pools.get(&call.service) else { return Vec::new() };
-        let homes = state.settings.home_zones(&call.route.homes);
+        let homes = state.settings.home_zones(&call.route.allowed_regions);
         let ask = place::SelectionCriteria {
             policy: state.settings.policy,
             work: state.works.work(&call.route.name, call.route.objective),
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -180,13 +180,13 @@
     /// Requests that crash upstreams.
     pub quarantine: quarantine::Quarantine,
     /// What upstreams have stated about themselves.
-    pub notices: notice::Board,
+    pub notices: notice::Backpressure,
     /// Second sends allowed, by service.
     sends: HashMap<ServiceName, Sends>,
     /// Configurations that may have no record yet.
     pub unrecorded: crate::record::Unrecorded,
     /// Whose turn it is at each split route.
-    pub turns: HashMap<RouteName, route::Turns>,
+    pub turns: HashMap<RouteName, route::WeightedRoundRobin>,
     /// How much of the configuration's history was seen.
     pub config_seen: Seen,
     /// How much of the list's history was seen.
@@ -234,7 +234,7 @@
             attempts: place::RetryDetector::default(),
             ends: quarantine::CrashDetector::default(),
             quarantine: quarantine::Quarantine::default(),
-            notices: notice::Board::of_node(node_seed),
+            notices: notice::Backpressure::with_node_seed(node_seed),
             sends: HashMap::new(),
             unrecorded: crate::record::Unrecorded::default(),
             turns: HashMap::new(),
--- a/crates/oatcoved/src/view.rs
+++ b/crates/oatcoved/src/view.rs
@@ -114,7 +114,7 @@
     /// Calls that crash upstreams.
     pub quarantine: quarantine::Quarantine,
     /// What upstreams have stated about themselves.
-    pub notices: notice::Board,
+    pub notices: notice::Backpressure,
     /// Calls being forwarded.
     pub in_flight: u64,
     /// Set once the node is stopping.
@@ -141,7 +141,7 @@
             reports: Default::default(),
             ends: Default::default(),
             quarantine: Default::default(),
-            notices: notice::Board::of_node(rand::random()),
+            notices: notice::Backpressure::with_node_seed(rand::random()),
             in_flight: 0,
             stopping: false,
             counters: Counters::default(),
@@ -192,7 +192,7 @@
     /// Latency EWMA, in milliseconds.
     pub latency_ewma_ms: f64,
     /// What it has stated about itself; `None` when nothing stands.
-    pub noted: Option<notice::Noted>,
+    pub noted: Option<notice::BackpressureStatus>,
 }
 
 impl View {
@@ -231,7 +231,7 @@
     /// A drain names the VM's id: an address can come back on a new VM, which
     /// must get work although its predecessor at the address was drained.
     pub fn is_drained(&self, vm: &proto::Vm) -> bool {
-        self.drains.get(&vm.addr).is_some_and(|(drain, _)| drain.holds_for(vm))
+        self.drains.get(&vm.addr).is_some_and(|(drain, _)| drain.applies_to(vm))
     }
 
     /// Takes what `watcher` says of `upstream` and applies the worst that any watcher says.
@@ -292,7 +292,7 @@
                         failing: u.health == balance::Health::Failing,
                         outstanding: u.outstanding,
                         latency_ewma_ms: u.latency_ewma_us / 1_000.0,
-                        noted: self.notices.noted(self.start_at(u.addr), now),
+                        noted: self.notices.status(self.start_at(u.addr), now),
                     })
                     .collect();
                 (service.clone(), list)
