--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -211,7 +211,7 @@
             Some(echoed) if echoed != request_id => {
                 hear(&head, AnswerTo::Earlier);
                 let mut decoder = h1::Decoder::new(head.framing);
-                if decoder.ends_with_connection() {
+                if decoder.is_close_delimited() {
                     return Err("answer to another request");
                 }
                 while let Some(_passed_over) = reader
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -55,7 +55,7 @@
 
 async fn connection(stream: TcpStream, node: Rc<Node>) {
     let (read, write) = stream.into_split();
-    let mut reader = h1::Reader::with_arrivals(read);
+    let mut reader = h1::Reader::with_receive_times(read);
     let mut writer = h1::Writer::new(write);
     let end = {
         let pipeline = Pipeline::default();
--- a/crates/edge/src/serve/take.rs
+++ b/crates/edge/src/serve/take.rs
@@ -179,7 +179,7 @@
         let limits = limits(self.node);
         let reading = self.reader.request_head(limits.header_bytes);
         match monoio::time::timeout(limits.header_timeout, reading).await {
-            Ok(Ok(head)) => Ok(Next::Head(Box::new(head), self.reader.arrival())),
+            Ok(Ok(head)) => Ok(Next::Head(Box::new(head), self.reader.receive_time())),
             Ok(Err(h1::ReadError::Malformed(err))) => {
                 trace::Line::new("bad_request").field("error", err.to_string()).log();
                 Ok(Next::Refused(Own::failed(err.status(), "the request cannot be read")))
--- a/crates/emu/src/table.rs
+++ b/crates/emu/src/table.rs
@@ -92,13 +92,13 @@
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (request.method(), parts.as_slice()) {
             (&Method::GET, ["v1", "rows", table]) => {
-                let since = web::query(request.uri(), "since").and_then(|v| v.parse().ok());
+                let since = web::query_param(request.uri(), "since").and_then(|v| v.parse().ok());
                 self.since(table, since.unwrap_or(0))
             }
             // Keys may hold slashes, as those of audit records do.
             (&Method::GET, ["v1", "rows", table, key @ ..]) => self.get(table, &key.join("/")),
             (&Method::POST, ["v1", "txn"]) => self.commit(request.body()),
-            (&Method::GET, ["v1", "vms"]) => match web::query(request.uri(), "since") {
+            (&Method::GET, ["v1", "vms"]) => match web::query_param(request.uri(), "since") {
                 Some(since) => self.vm_changes(since.parse().unwrap_or(0)),
                 None => self.vms(),
             },
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -212,7 +212,7 @@
         Err(web::Error::Timeout) => return (Err("timeout".to_owned()), Told::Unknown),
         Err(_) => return (Err("transport".to_owned()), Told::Unknown),
     };
-    if !web::closes(response.headers()) {
+    if !web::has_connection_close(response.headers()) {
         idle.borrow_mut().push(conn);
     }
     let outcome =
--- a/crates/oatcoved/src/proxy.rs
+++ b/crates/oatcoved/src/proxy.rs
@@ -65,7 +65,7 @@
 
     async fn route(&self, request: web::Request) -> web::Response {
         let path = request.uri().path().to_owned();
-        let query = |key| web::query(request.uri(), key);
+        let query = |key| web::query_param(request.uri(), key);
         match (request.method(), path.as_str()) {
             (&http::Method::GET, "/v1/entries") => self.entries(query("service"), query("zone")),
             (&http::Method::GET, "/v1/vms") => {
--- a/crates/oatcoved/src/proxy/attempt.rs
+++ b/crates/oatcoved/src/proxy/attempt.rs
@@ -92,7 +92,7 @@
             Ok(response) => {
                 let refused = response.status() == StatusCode::SERVICE_UNAVAILABLE
                     && response.headers().contains_key(http::header::RETRY_AFTER);
-                if !web::closes(response.headers()) {
+                if !web::has_connection_close(response.headers()) {
                     self.keep(addr, conn, most, Instant::now());
                 }
                 match refused {
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,4 +1,4 @@
-//! One client connection to an HTTP/1.1 server.
+//! HTTP/1.1 client connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,44 +11,46 @@
 use crate::{h1, Request, Response, MAX_BODY_BYTES};
 
 quick_error! {
-    /// Why an exchange on a connection failed.
+    /// Errors of connecting, or of sending a request and reading its response.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Error {
-        /// The TCP connection could not be made; nothing was sent.
+        /// The TCP connection could not be established; nothing was sent.
         Connect(message: String) {
             display("connect failed: {}", message)
         }
-        /// The request could not be written; it may have been partly sent.
+        /// The request could not be written; part of it may have been sent.
         Send(message: String) {
             display("send failed: {}", message)
         }
-        /// The peer closed or broke the connection before the whole response arrived.
+        /// The connection was closed or failed before the whole response arrived, or the response
+        /// is malformed or longer than [`MAX_BODY_BYTES`](crate::MAX_BODY_BYTES).
         Http(message: String) {
             display("http error: {}", message)
         }
-        /// The deadline passed before the whole response arrived.
+        /// The timeout passed before the whole response arrived.
         Timeout {
             display("timed out")
         }
     }
 }
 
-/// How the operating system asks the peer of a quiet connection whether it is still there.
+/// TCP keepalive settings, with which the operating system detects a dead peer of an idle
+/// connection.
 #[derive(Clone, Copy, Debug)]
-pub struct KeepAlive {
-    /// Time without a byte before the first question.
+pub struct TcpKeepalive {
+    /// Time without received data before the first keepalive probe.
     pub idle: Duration,
-    /// Time between two questions.
+    /// Time between two probes.
     pub interval: Duration,
-    /// Questions without an answer after which the connection is broken.
+    /// Number of unacknowledged probes after which the connection fails.
     pub probes: u32,
 }
 
-/// A connection that sends one request at a time and reads each response whole.
+/// A client connection that sends one request at a time and buffers each whole response.
 pub struct Conn {
     writer: h1::Writer,
     reader: h1::Reader,
-    /// Where this connection goes.
+    /// Address of the server.
     pub peer: SocketAddr,
 }
 
@@ -57,28 +59,29 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Connect`] when the connection is refused or `timeout` passes.
+    /// Returns [`Error::Connect`] when the connection fails or `timeout` passes.
     pub async fn connect(addr: SocketAddr, timeout: Duration) -> Result<Conn, Error> {
         Conn::open(addr, timeout, None).await
     }
 
-    /// Opens a connection that is asked for signs of life while nothing comes on it.
+    /// Opens a connection to `addr` with TCP keepalive enabled.
     ///
     /// # Errors
     ///
-    /// As [`Conn::connect`].
-    pub async fn connect_watched(
+    /// Returns [`Error::Connect`] as [`Conn::connect`] does, and when the keepalive options cannot
+    /// be set.
+    pub async fn connect_with_keepalive(
         addr: SocketAddr,
         timeout: Duration,
-        keep_alive: KeepAlive,
+        keepalive: TcpKeepalive,
     ) -> Result<Conn, Error> {
-        Conn::open(addr, timeout, Some(keep_alive)).await
+        Conn::open(addr, timeout, Some(keepalive)).await
     }
 
     async fn open(
         addr: SocketAddr,
         timeout: Duration,
-        keep_alive: Option<KeepAlive>,
+        keepalive: Option<TcpKeepalive>,
     ) -> Result<Conn, Error> {
         let stream = match monoio::time::timeout(timeout, TcpStream::connect_addr(addr)).await {
             Ok(Ok(stream)) => stream,
@@ -86,9 +89,9 @@
             Err(_) => return Err(Error::Connect("timed out".to_owned())),
         };
         let _ = stream.set_nodelay(true);
-        if let Some(KeepAlive { idle, interval, probes }) = keep_alive {
-            let set = stream.set_tcp_keepalive(Some(idle), Some(interval), Some(probes));
-            set.map_err(|err| Error::Connect(err.to_string()))?;
+        if let Some(TcpKeepalive { idle, interval, probes }) = keepalive {
+            let result = stream.set_tcp_keepalive(Some(idle), Some(interval), Some(probes));
+            result.map_err(|err| Error::Connect(err.to_string()))?;
         }
         let (read, write) = stream.into_split();
         Ok(Conn { reader: h1::Reader::new(read), writer: h1::Writer::new(write), peer: addr })
@@ -96,13 +99,13 @@
 
     /// Sends `request` and returns the whole response.
     ///
-    /// The caller must drop the connection after any error: its stream may be
-    /// left mid-message.
+    /// The caller must drop the connection after any error, because the stream may be in the middle
+    /// of a message.
     ///
     /// # Errors
     ///
-    /// [`Error::Send`] when writing fails, [`Error::Http`] when the response is
-    /// broken or cut, [`Error::Timeout`] when `timeout` passes first.
+    /// Returns [`Error::Send`] when writing fails, [`Error::Http`] when the response is malformed,
+    /// too long or incomplete, and [`Error::Timeout`] when `timeout` passes first.
     pub async fn send(&mut self, request: Request, timeout: Duration) -> Result<Response, Error> {
         match monoio::time::timeout(timeout, self.exchange(request)).await {
             Ok(result) => result,
@@ -117,7 +120,8 @@
         let mut headers = parts.headers;
         headers.remove(TRANSFER_ENCODING);
         if !headers.contains_key(HOST) {
-            let host = HeaderValue::try_from(self.peer.to_string()).expect("an address is a value");
+            let host = HeaderValue::try_from(self.peer.to_string())
+                .expect("a socket address is a valid header value");
             headers.insert(HOST, host);
         }
         if !body.is_empty() || parts.method != http::Method::GET {
--- a/crates/web/src/h1/body.rs
+++ b/crates/web/src/h1/body.rs
@@ -1,52 +1,52 @@
-//! Bodies: taking them out of the bytes received, piece by piece.
+//! Incremental decoding of message bodies.
 
 use bytes::{Bytes, BytesMut};
 
 use super::grammar;
-use super::head::{Framing, Malformed};
+use super::head::{Framing, ParseError};
 
-/// Longest line that gives a chunk's size, with extensions, in bytes.
+/// Maximum length of a chunk size line including chunk extensions, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Longest trailer section after the last chunk, in bytes.
+/// Maximum length of the trailer section in bytes, not counting line endings.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
-/// Ends a chunked body.
+/// The last chunk and the empty trailer section, which end a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// What could be taken out of the bytes at hand.
+/// Result of one decoding step.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
-    /// Some of the body.
+pub enum Progress {
+    /// The next part of the body, without chunk framing.
     Data(Bytes),
-    /// More bytes must be received first.
+    /// The buffer holds too few bytes; more must be received first.
     NeedMore,
-    /// The body is complete; what follows belongs to the next message.
+    /// The body is complete; the remaining bytes belong to the next message.
     End,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// This many bytes of a body with a length are left.
+    /// Remaining bytes of a body with a known length.
     Fixed(u64),
     ChunkSize,
-    /// This many bytes of the current chunk are left.
+    /// Remaining bytes of the current chunk.
     ChunkData(u64),
     ChunkEnd,
-    /// The trailer section may have this many bytes more.
+    /// Bytes that the trailer section may still have.
     Trailer(usize),
     UntilClose,
     Done,
 }
 
-/// Takes one body out of a stream of bytes.
+/// Decodes one message body from a byte stream.
 #[derive(Debug)]
 pub struct Decoder {
     state: State,
 }
 
 impl Decoder {
-    /// Creates the decoder of a body that ends as `framing` says.
+    /// Creates a decoder for a body with the given framing.
     pub fn new(framing: Framing) -> Decoder {
         let state = match framing {
             Framing::Empty => State::Done,
@@ -57,117 +57,126 @@
         Decoder { state }
     }
 
-    /// Returns true once the whole body was taken.
+    /// Returns true once the whole body has been decoded.
     pub fn is_done(&self) -> bool {
         matches!(self.state, State::Done)
     }
 
-    /// Returns true when the end of the connection ends the body too.
-    pub fn ends_with_connection(&self) -> bool {
+    /// Returns true when the end of the body is marked by the end of the connection.
+    pub fn is_close_delimited(&self) -> bool {
         matches!(self.state, State::UntilClose)
     }
 
-    /// Takes the next piece out of `buf`.
+    /// Removes the next part of the body from the front of `buf` and returns it.
     ///
     /// # Errors
     ///
-    /// [`Malformed`] when chunks are not as RFC 9112 has them; the connection is then useless.
-    pub fn next(&mut self, buf: &mut BytesMut) -> Result<Piece, Malformed> {
+    /// Returns [`ParseError`] when the chunked coding or the trailer section violates RFC 9112 or
+    /// is too long. The position of the next message is then unknown, so the connection cannot be
+    /// reused.
+    pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Progress, ParseError> {
         loop {
             match self.state {
-                State::Done => return Ok(Piece::End),
-                _ if buf.is_empty() => return Ok(Piece::NeedMore),
-                State::UntilClose => return Ok(Piece::Data(buf.split().freeze())),
+                State::Done => return Ok(Progress::End),
+                _ if buf.is_empty() => return Ok(Progress::NeedMore),
+                State::UntilClose => return Ok(Progress::Data(buf.split().freeze())),
                 State::Fixed(left) => {
-                    let data = take(buf, left);
+                    let data = take_up_to(buf, left);
                     self.state = match left - data.len() as u64 {
                         0 => State::Done,
                         left => State::Fixed(left),
                     };
-                    return Ok(Piece::Data(data));
+                    return Ok(Progress::Data(data));
                 }
                 State::ChunkData(left) => {
-                    let data = take(buf, left);
+                    let data = take_up_to(buf, left);
                     self.state = match left - data.len() as u64 {
                         0 => State::ChunkEnd,
                         left => State::ChunkData(left),
                     };
-                    return Ok(Piece::Data(data));
+                    return Ok(Progress::Data(data));
                 }
-                State::ChunkSize => match chunk_size(buf)? {
+                State::ChunkSize => match take_chunk_size(buf)? {
                     Some(0) => self.state = State::Trailer(MAX_TRAILER_BYTES),
                     Some(size) => self.state = State::ChunkData(size),
-                    None => return Ok(Piece::NeedMore),
+                    None => return Ok(Progress::NeedMore),
                 },
-                State::ChunkEnd if buf.len() < 2 => return Ok(Piece::NeedMore),
+                State::ChunkEnd if buf.len() < 2 => return Ok(Progress::NeedMore),
                 State::ChunkEnd if buf.starts_with(b"\r\n") => {
                     let _ = buf.split_to(2);
                     self.state = State::ChunkSize;
                 }
-                State::ChunkEnd => return Err(Malformed::Framing("a chunk longer than its size")),
-                State::Trailer(left) => match trailer_line(buf, left)? {
+                State::ChunkEnd => return Err(ParseError::Framing("a chunk longer than its size")),
+                State::Trailer(left) => match take_trailer_line(buf, left)? {
                     Some(0) => self.state = State::Done,
                     Some(length) => self.state = State::Trailer(left - length),
-                    None => return Ok(Piece::NeedMore),
+                    None => return Ok(Progress::NeedMore),
                 },
             }
         }
     }
 }
 
-fn take(buf: &mut BytesMut, most: u64) -> Bytes {
-    let length = usize::try_from(most).unwrap_or(usize::MAX).min(buf.len());
+fn take_up_to(buf: &mut BytesMut, max_bytes: u64) -> Bytes {
+    let length = usize::try_from(max_bytes).unwrap_or(usize::MAX).min(buf.len());
     buf.split_to(length).freeze()
 }
 
-/// Takes a line that ends with CRLF out of `buf`, without that end; `None` when it is not whole yet.
+/// Removes a line that ends with CRLF from `buf` and returns it without the CRLF; `None` when the
+/// line is still incomplete.
 ///
-/// A bare CR or LF is refused: some readers end a line there and others do not, and what one of them
-/// takes for the rest of a line is a request of its own for the other.
-fn line(
+/// Rejects a bare CR or LF. Some HTTP implementations treat it as the end of a line and others do
+/// not, so bytes that one of them reads as the rest of the line are a separate request to the
+/// other.
+fn take_line(
     buf: &mut BytesMut,
-    most_bytes: usize,
-    too_long: Malformed,
-) -> Result<Option<BytesMut>, Malformed> {
+    max_bytes: usize,
+    too_long: ParseError,
+) -> Result<Option<BytesMut>, ParseError> {
     let Some(at) = buf.iter().position(|byte| matches!(byte, b'\r' | b'\n')) else {
-        return if buf.len() > most_bytes { Err(too_long) } else { Ok(None) };
+        return if buf.len() > max_bytes { Err(too_long) } else { Ok(None) };
     };
     match &buf[at..] {
-        _ if at > most_bytes => Err(too_long),
+        _ if at > max_bytes => Err(too_long),
         [b'\r'] => Ok(None),
         [b'\r', b'\n', ..] => {
             let mut line = buf.split_to(at + 2);
             line.truncate(at);
             Ok(Some(line))
         }
-        _ => Err(Malformed::Framing("a line that does not end with CRLF")),
+        _ => Err(ParseError::Framing("a line that does not end with CRLF")),
     }
 }
 
-/// Takes a chunk's size line; `None` when it is not whole yet.
-fn chunk_size(buf: &mut BytesMut) -> Result<Option<u64>, Malformed> {
-    let broken = || Malformed::Framing("a broken chunk size");
-    let Some(line) = line(buf, MAX_CHUNK_LINE_BYTES, broken())? else { return Ok(None) };
+/// Removes a chunk size line from `buf` and returns the size; `None` when the line is still
+/// incomplete.
+fn take_chunk_size(buf: &mut BytesMut) -> Result<Option<u64>, ParseError> {
+    let invalid_size = || ParseError::Framing("a broken chunk size");
+    let Some(line) = take_line(buf, MAX_CHUNK_LINE_BYTES, invalid_size())? else { return Ok(None) };
     let digits = line.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
     let (size, extensions) = line.split_at(digits);
     match std::str::from_utf8(size).ok().and_then(|size| u64::from_str_radix(size, 16).ok()) {
         Some(size) if grammar::is_chunk_extensions(extensions) => Ok(Some(size)),
-        _ => Err(broken()),
+        _ => Err(invalid_size()),
     }
 }
 
-/// Takes one line of the trailer section and returns its length; `None` when it is not whole yet.
+/// Removes one line of the trailer section from `buf` and returns its length in bytes without the
+/// CRLF; `None` when the line is still incomplete.
 ///
-/// Trailer fields are dropped: they concern one connection only unless both sides agreed on more.
-fn trailer_line(buf: &mut BytesMut, most_bytes: usize) -> Result<Option<usize>, Malformed> {
-    match line(buf, most_bytes, Malformed::TooLong)? {
+/// Trailer fields are discarded: they apply to one connection only, unless both sides agreed
+/// otherwise.
+fn take_trailer_line(buf: &mut BytesMut, max_bytes: usize) -> Result<Option<usize>, ParseError> {
+    match take_line(buf, max_bytes, ParseError::TooLong)? {
         None => Ok(None),
         Some(line) if line.is_empty() || grammar::is_field_line(&line) => Ok(Some(line.len())),
-        Some(_) => Err(Malformed::Framing("a broken trailer")),
+        Some(_) => Err(ParseError::Framing("a broken trailer")),
     }
 }
 
-/// Returns `data` as one chunk of a chunked body.
+/// Encodes `data` as one chunk of a chunked body.
+///
+/// An empty `data` gives [`LAST_CHUNK`], which ends the body.
 pub fn encode_chunk(data: &[u8]) -> Vec<u8> {
     let mut out = format!("{:x}\r\n", data.len()).into_bytes();
     out.extend_from_slice(data);
--- a/crates/web/src/h1/grammar.rs
+++ b/crates/web/src/h1/grammar.rs
@@ -1,32 +1,33 @@
-//! The parts of RFC 9110 and 9112 that are read by hand, as strictly as they stand there.
+//! Hand-written validators for parts of the RFC 9110 and RFC 9112 grammar, without any leniency.
 
-/// Returns true for a byte of a token (RFC 9110, 5.6.2).
+/// Returns true for a byte that is allowed in a token (RFC 9110, section 5.6.2).
 fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// Returns true for a byte of a field value: visible, a blank, or not ASCII.
+/// Returns true for a byte that is allowed in a field value: visible ASCII, space, tab or
+/// non-ASCII.
 fn is_text_byte(byte: u8) -> bool {
     matches!(byte, b'\t' | b' '..=b'~' | 0x80..)
 }
 
-/// Returns what follows the bytes at the start of `text` for which `belongs` holds.
-fn skip(text: &[u8], belongs: fn(u8) -> bool) -> &[u8] {
-    &text[text.iter().take_while(|byte| belongs(**byte)).count()..]
+/// Returns `text` without its leading bytes that satisfy `predicate`.
+fn skip_while(text: &[u8], predicate: fn(u8) -> bool) -> &[u8] {
+    &text[text.iter().take_while(|byte| predicate(**byte)).count()..]
 }
 
-fn skip_blanks(text: &[u8]) -> &[u8] {
-    skip(text, |byte| matches!(byte, b' ' | b'\t'))
+fn skip_whitespace(text: &[u8]) -> &[u8] {
+    skip_while(text, |byte| matches!(byte, b' ' | b'\t'))
 }
 
-/// Returns what follows a token; `None` when there is none.
+/// Returns what follows the token at the start of `text`; `None` when there is no token.
 fn after_token(text: &[u8]) -> Option<&[u8]> {
-    let rest = skip(text, is_token_byte);
+    let rest = skip_while(text, is_token_byte);
     (rest.len() < text.len()).then_some(rest)
 }
 
-/// Returns what follows a quoted string; `None` when there is none.
-fn after_quoted(text: &[u8]) -> Option<&[u8]> {
+/// Returns what follows the quoted string at the start of `text`; `None` when there is none.
+fn after_quoted_string(text: &[u8]) -> Option<&[u8]> {
     let mut rest = text.strip_prefix(b"\"")?;
     loop {
         rest = match rest {
@@ -39,29 +40,30 @@
     }
 }
 
-/// Returns true for what may stand between the size of a chunk and the end of its line (RFC 9112,
+/// Returns true when `text` is a possibly empty sequence of chunk extensions (RFC 9112, section
 /// 7.1.1).
 pub(super) fn is_chunk_extensions(text: &[u8]) -> bool {
     let mut text = text;
     while !text.is_empty() {
-        let Some(name) = skip_blanks(text).strip_prefix(b";") else { return false };
-        let Some(behind_name) = after_token(skip_blanks(name)) else { return false };
-        text = match skip_blanks(behind_name) {
+        let Some(name) = skip_whitespace(text).strip_prefix(b";") else { return false };
+        let Some(after_name) = after_token(skip_whitespace(name)) else { return false };
+        text = match skip_whitespace(after_name) {
             [b'=', value @ ..] => {
-                let value = skip_blanks(value);
-                match after_token(value).or_else(|| after_quoted(value)) {
+                let value = skip_whitespace(value);
+                match after_token(value).or_else(|| after_quoted_string(value)) {
                     Some(rest) => rest,
                     None => return false,
                 }
             }
-            _ => behind_name,
+            _ => after_name,
         };
     }
     true
 }
 
-/// Returns true for a field line without its end (RFC 9112, 5): no blank before the colon, no
-/// folded line.
+/// Returns true when `line` is a field line without its CRLF (RFC 9112, section 5).
+///
+/// Whitespace before the colon and folded lines are not accepted.
 pub(super) fn is_field_line(line: &[u8]) -> bool {
     match after_token(line) {
         Some([b':', value @ ..]) => value.iter().all(|byte| is_text_byte(*byte)),
@@ -69,8 +71,8 @@
     }
 }
 
-/// Returns true when each line of `text` ends with CRLF, and no CR or LF stands elsewhere.
-pub(super) fn has_sound_line_ends(text: &[u8]) -> bool {
+/// Returns true when CR and LF occur in `text` only as CRLF pairs.
+pub(super) fn has_only_crlf_line_endings(text: &[u8]) -> bool {
     let mut rest = text;
     while let Some(at) = rest.iter().position(|byte| matches!(byte, b'\r' | b'\n')) {
         match rest[at..].strip_prefix(b"\r\n") {
--- a/crates/web/src/h1/mod.rs
+++ b/crates/web/src/h1/mod.rs
@@ -1,19 +1,20 @@
-//! HTTP/1.1 messages: strict framing, apart from input and output, and the
-//! byte streams they travel on.
+//! HTTP/1.1 messages with strict framing, and the TCP streams that carry them.
 //!
-//! A proxy that frames a message differently from the next hop lets a caller
-//! hide a second request inside the first; it shows as requests at upstreams
-//! that no caller sent. So a message whose length can be read in two ways is
-//! refused here, and a message is always written anew from its parsed form.
+//! Parsing and decoding do no I/O; [`Reader`] and [`Writer`] do.
+//!
+//! When a proxy frames a message differently from the next hop, a caller can hide a second request
+//! inside the first (request smuggling), and upstreams receive requests that no caller sent. To
+//! prevent this, messages with an ambiguous length are rejected, and a forwarded message is always
+//! serialized from its parsed form.
 
 mod body;
 mod grammar;
 mod head;
 mod stream;
 
-pub use body::{encode_chunk, Decoder, Piece, LAST_CHUNK};
+pub use body::{encode_chunk, Decoder, Progress, LAST_CHUNK};
 pub use head::{
-    parse_request, parse_response, write_request, write_response, Framing, Malformed, RequestHead,
+    parse_request, parse_response, write_request, write_response, Framing, ParseError, RequestHead,
     ResponseHead, MAX_RESPONSE_HEAD_BYTES,
 };
 pub use stream::{ReadError, Reader, Writer};
--- a/crates/web/src/h1/stream.rs
+++ b/crates/web/src/h1/stream.rs
@@ -1,4 +1,4 @@
-//! The two halves of a TCP connection, with what was received and not yet used.
+//! Buffered reading and writing of HTTP messages on the two halves of a TCP connection.
 
 use std::collections::VecDeque;
 use std::io;
@@ -10,135 +10,142 @@
 use monoio::net::TcpStream;
 use quick_error::quick_error;
 
-use super::body::{Decoder, Piece};
-use super::head::{self, Malformed, RequestHead, ResponseHead};
+use super::body::{Decoder, Progress};
+use super::head::{self, ParseError, RequestHead, ResponseHead};
 
-/// Bytes received within this time of each other count as received together: a peer that sends one
-/// byte at a time must not make the list of arrivals long.
-const ARRIVAL_GRAIN: Duration = Duration::from_millis(1);
+/// Reads that follow each other within this time share one receive time, so that a peer that sends
+/// one byte at a time cannot make the list of receive times long.
+const RECEIVE_TIME_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// Bytes read at once.
-const READ_BYTES: usize = 8 * 1024;
+/// Maximum number of bytes in one read.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
 quick_error! {
-    /// Why a message could not be read.
+    /// Errors of reading a message.
     #[derive(Debug)]
     pub enum ReadError {
-        /// The peer closed its side in an orderly way before the message was complete.
+        /// The peer closed its side of the connection in an orderly way (end of file) before the
+        /// message was complete.
         Closed {
             display("connection closed")
         }
-        /// The connection broke.
+        /// An I/O operation on the socket failed.
         Io(err: io::Error) {
             from()
             display("{}", err)
         }
-        /// What came is no message.
-        Malformed(err: Malformed) {
+        /// The received bytes are not a valid message.
+        Malformed(err: ParseError) {
             from()
             display("{}", err)
         }
     }
 }
 
-/// The receiving half.
+/// Reads messages from the receiving half of a connection and buffers unconsumed bytes.
 pub struct Reader {
     half: OwnedReadHalf<TcpStream>,
     buf: BytesMut,
-    arrivals: Option<Arrivals>,
+    receive_times: Option<ReceiveTimes>,
 }
 
-/// When the bytes of a stream were received.
+/// Receive times of the bytes of a stream.
 #[derive(Default)]
-struct Arrivals {
-    /// Bytes received in all.
-    received: u64,
-    /// Up to which byte was received when, for bytes that were not taken out yet.
-    up_to: VecDeque<(u64, Instant)>,
+struct ReceiveTimes {
+    /// Number of bytes received since the connection was opened.
+    total_received: u64,
+    /// End offset in the stream and receive time of the reads, oldest first. Entries that end
+    /// before the last consumed byte are removed on lookup.
+    end_offsets: VecDeque<(u64, Instant)>,
 }
 
-impl Arrivals {
-    fn received(&mut self, bytes: usize, now: Instant) {
-        self.received += bytes as u64;
-        match self.up_to.back_mut() {
-            Some((up_to, at)) if now.saturating_duration_since(*at) < ARRIVAL_GRAIN => {
-                *up_to = self.received;
+impl ReceiveTimes {
+    fn record(&mut self, bytes: usize, now: Instant) {
+        self.total_received += bytes as u64;
+        match self.end_offsets.back_mut() {
+            Some((end_offset, at))
+                if now.saturating_duration_since(*at) < RECEIVE_TIME_RESOLUTION =>
+            {
+                *end_offset = self.total_received;
             }
-            _ => self.up_to.push_back((self.received, now)),
+            _ => self.end_offsets.push_back((self.total_received, now)),
         }
     }
 
-    /// Returns when the byte before the `left` last ones was received.
-    fn of_byte_before(&mut self, left: usize) -> Option<Instant> {
-        let taken = self.received - left as u64;
-        while self.up_to.len() > 1 && self.up_to[0].0 < taken {
-            self.up_to.pop_front();
+    /// Returns when the last consumed byte was received, given that `unconsumed` bytes follow it.
+    fn of_last_consumed(&mut self, unconsumed: usize) -> Option<Instant> {
+        let consumed = self.total_received - unconsumed as u64;
+        while self.end_offsets.len() > 1 && self.end_offsets[0].0 < consumed {
+            self.end_offsets.pop_front();
         }
-        self.up_to.front().map(|(_, at)| *at)
+        self.end_offsets.front().map(|(_, at)| *at)
     }
 }
 
-/// The sending half.
+/// Writes to the sending half of a connection.
 pub struct Writer {
     half: OwnedWriteHalf<TcpStream>,
 }
 
 impl Reader {
-    /// Wraps a receiving half that nothing was read from yet.
+    /// Creates a reader for a connection that has not been read from yet.
     pub fn new(half: OwnedReadHalf<TcpStream>) -> Reader {
-        Reader { half, buf: BytesMut::new(), arrivals: None }
+        Reader { half, buf: BytesMut::new(), receive_times: None }
     }
 
-    /// Wraps a receiving half that nothing was read from yet; [`Reader::arrival`] tells when bytes
-    /// were received.
-    pub fn with_arrivals(half: OwnedReadHalf<TcpStream>) -> Reader {
-        Reader { arrivals: Some(Arrivals::default()), ..Reader::new(half) }
+    /// Creates a reader, for a connection that has not been read from yet, that records receive
+    /// times for [`Reader::receive_time`].
+    pub fn with_receive_times(half: OwnedReadHalf<TcpStream>) -> Reader {
+        Reader { receive_times: Some(ReceiveTimes::default()), ..Reader::new(half) }
     }
 
-    /// Returns when the last byte that was taken out had been received; now when that was not
-    /// recorded.
+    /// Returns when the last consumed byte was received, or the current time when receive times are
+    /// not recorded.
     ///
-    /// Bytes may wait here for what was asked before them. Counted from when they are looked at, a
-    /// request would be given more time than its caller waits.
-    pub fn arrival(&mut self) -> Instant {
-        let left = self.buf.len();
-        let recorded = self.arrivals.as_mut().and_then(|arrivals| arrivals.of_byte_before(left));
+    /// A pipelined request may stay in the buffer until earlier ones are processed. If its timeout
+    /// started when it is parsed, it would get more time than its caller waits.
+    pub fn receive_time(&mut self) -> Instant {
+        let unconsumed = self.buf.len();
+        let recorded =
+            self.receive_times.as_mut().and_then(|times| times.of_last_consumed(unconsumed));
         recorded.unwrap_or_else(Instant::now)
     }
 
-    /// Returns how many bytes were received that nobody asked for yet.
+    /// Returns the number of bytes that were received but not consumed yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buf.len()
     }
 
-    /// Returns true when bytes were received that nobody asked for yet.
+    /// Returns true when bytes were received but not consumed yet.
     pub fn has_buffered(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Receives more bytes; false when the peer closed its side.
+    /// Receives more bytes into the buffer; returns false when the peer closed its side.
     ///
-    /// It may be dropped while it waits: nothing received is lost.
+    /// Cancel safe: dropping the future loses no received bytes.
     ///
     /// # Errors
     ///
-    /// Whatever the socket says.
+    /// Returns the I/O error of the socket.
     pub async fn fill(&mut self) -> io::Result<bool> {
-        let (result, scratch) = self.half.read(Vec::with_capacity(READ_BYTES)).await;
+        let (result, scratch) = self.half.read(Vec::with_capacity(READ_BUFFER_BYTES)).await;
         let length = result?;
         self.buf.extend_from_slice(&scratch[..length]);
-        if let Some(arrivals) = &mut self.arrivals {
-            arrivals.received(length, Instant::now());
+        if let Some(receive_times) = &mut self.receive_times {
+            receive_times.record(length, Instant::now());
         }
         Ok(length > 0)
     }
 
-    /// Receives bytes and throws them away with what was received before; returns how many, or
-    /// `None` when the peer closed its side.
+    /// Discards the buffered bytes and receives more; returns how many were received, or `None`
+    /// when the peer closed its side.
+    ///
+    /// The newly received bytes are discarded by the next call.
     ///
     /// # Errors
     ///
-    /// Whatever the socket says.
+    /// Returns the I/O error of the socket.
     pub async fn discard(&mut self) -> io::Result<Option<usize>> {
         self.buf.clear();
         let more = self.fill().await?;
@@ -152,11 +159,11 @@
         }
     }
 
-    /// Reads a request head of at most `max_bytes`.
+    /// Reads a request head of at most `max_bytes` bytes.
     ///
     /// # Errors
     ///
-    /// [`ReadError`]; `Closed` also when the peer closed between two requests.
+    /// Returns [`ReadError`], which is `Closed` also when the peer closes between two requests.
     pub async fn request_head(&mut self, max_bytes: usize) -> Result<RequestHead, ReadError> {
         loop {
             match head::parse_request(&self.buf, max_bytes)? {
@@ -169,17 +176,19 @@
         }
     }
 
-    /// Reads the head of the final response to a `method` request; interim ones are passed over.
+    /// Reads the head of the final response to a `method` request and skips interim (1xx)
+    /// responses.
     ///
     /// # Errors
     ///
-    /// [`ReadError`]; a switch of protocols is malformed, as nobody asked for one.
+    /// Returns [`ReadError`]. `101 Switching Protocols` is `Malformed`, because no request asks for
+    /// an upgrade.
     pub async fn response_head(&mut self, method: &Method) -> Result<ResponseHead, ReadError> {
         loop {
             match head::parse_response(&self.buf, method)? {
                 Some((head, _)) if head.status == http::StatusCode::SWITCHING_PROTOCOLS => {
                     let message = "unasked switch of protocols".to_owned();
-                    return Err(Malformed::Syntax(message).into());
+                    return Err(ParseError::Syntax(message).into());
                 }
                 Some((head, length)) => {
                     let _ = self.buf.split_to(length);
@@ -192,39 +201,40 @@
         }
     }
 
-    /// Reads the next piece of the body that `decoder` takes; `None` once it is complete.
+    /// Reads the next part of the body that `decoder` decodes; `None` once the body is complete.
     ///
     /// # Errors
     ///
-    /// [`ReadError`]; `Closed` when the body ends early.
+    /// Returns [`ReadError`], which is `Closed` when the connection ends before the body does.
     pub async fn body_piece(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, ReadError> {
         loop {
-            match decoder.next(&mut self.buf)? {
-                Piece::Data(data) => return Ok(Some(data)),
-                Piece::End => return Ok(None),
-                Piece::NeedMore => match self.fill().await? {
+            match decoder.decode(&mut self.buf)? {
+                Progress::Data(data) => return Ok(Some(data)),
+                Progress::End => return Ok(None),
+                Progress::NeedMore => match self.fill().await? {
                     true => {}
-                    false if decoder.ends_with_connection() => return Ok(None),
+                    false if decoder.is_close_delimited() => return Ok(None),
                     false => return Err(ReadError::Closed),
                 },
             }
         }
     }
 
-    /// Reads the whole body that `decoder` takes, of `most_bytes` at most.
+    /// Reads the whole body that `decoder` decodes, of at most `max_bytes` bytes.
     ///
     /// # Errors
     ///
-    /// [`ReadError`]; `Closed` when it ends early, `Malformed` when it is too long.
+    /// Returns [`ReadError`], which is `Closed` when the connection ends before the body does and
+    /// `Malformed` when the body is malformed or too long.
     pub async fn body(
         &mut self,
         decoder: &mut Decoder,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> Result<Bytes, ReadError> {
         let mut body = BytesMut::new();
         while let Some(piece) = self.body_piece(decoder).await? {
-            if body.len() + piece.len() > most_bytes {
-                return Err(Malformed::TooLong.into());
+            if body.len() + piece.len() > max_bytes {
+                return Err(ParseError::TooLong.into());
             }
             body.extend_from_slice(&piece);
         }
@@ -233,23 +243,26 @@
 }
 
 impl Writer {
-    /// Wraps a sending half.
+    /// Creates a writer for a connection.
     pub fn new(half: OwnedWriteHalf<TcpStream>) -> Writer {
         Writer { half }
     }
 
-    /// Writes all of `bytes`. Once dropped midway, the connection is useless.
+    /// Writes all of `bytes`.
+    ///
+    /// Not cancel safe: if the future is dropped before it completes, an unknown part of `bytes`
+    /// was sent and the connection cannot be used further.
     ///
     /// # Errors
     ///
-    /// Whatever the socket says.
+    /// Returns the I/O error of the socket.
     pub async fn write(&mut self, bytes: Vec<u8>) -> io::Result<()> {
         self.half.write_all(bytes).await.0.map(|_| ())
     }
 
-    /// Closes this side of the connection.
+    /// Closes the sending side of the connection.
     pub async fn shutdown(&mut self) {
-        // Fails only when the connection is gone already.
+        // This fails only when the connection is already closed.
         let _ = self.half.shutdown().await;
     }
 }
--- a/crates/web/src/h1/tests.rs
+++ b/crates/web/src/h1/tests.rs
@@ -3,29 +3,31 @@
 use proptest::prelude::*;
 
 use super::{
-    encode_chunk, parse_request, parse_response, write_request, Decoder, Framing, Malformed, Piece,
-    LAST_CHUNK,
+    encode_chunk, parse_request, parse_response, write_request, Decoder, Framing, ParseError,
+    Progress, LAST_CHUNK,
 };
 
 const MAX_HEAD_BYTES: usize = 1_024;
 
-/// Returns what `Malformed` variant a request head is refused with.
-fn refusal(head: &str) -> Option<&'static str> {
+/// Returns the `ParseError` variant that a request head is rejected with; `None` when it is
+/// accepted or incomplete.
+fn rejection(head: &str) -> Option<&'static str> {
     match parse_request(head.as_bytes(), MAX_HEAD_BYTES) {
         Ok(_) => None,
-        Err(Malformed::Syntax(_)) => Some("syntax"),
-        Err(Malformed::TooLong) => Some("too long"),
-        Err(Malformed::Framing(_)) => Some("framing"),
-        Err(Malformed::Host) => Some("host"),
-        Err(Malformed::Target) => Some("target"),
-        Err(Malformed::Coding) => Some("coding"),
+        Err(ParseError::Syntax(_)) => Some("syntax"),
+        Err(ParseError::TooLong) => Some("too long"),
+        Err(ParseError::Framing(_)) => Some("framing"),
+        Err(ParseError::Host) => Some("host"),
+        Err(ParseError::Target) => Some("target"),
+        Err(ParseError::TransferCoding) => Some("coding"),
     }
 }
 
-/// Symptom: an upstream runs a request that no caller sent.
-/// Sequence: a caller sends a message whose length two readers take differently; the second
-/// request hides in what one of them takes for the first one's body.
-/// Cause: guessing instead of refusing when the length of a body is ambiguous.
+/// Guards against request smuggling, where an upstream runs a request that no caller sent.
+///
+/// When two parsers interpret the length of a message differently, a second request can hide in the
+/// bytes that one of them takes for the body of the first. Ambiguous requests must be rejected, not
+/// guessed at.
 #[yare::parameterized(
     two_lengths = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", "framing" },
     same_length_twice = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n", "framing" },
@@ -37,12 +39,12 @@
     chunked_twice = { "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", "framing" },
     chunked_in_http_1_0 = { "POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", "framing" },
     other_coding = { "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", "coding" },
-    coding_with_a_tail = { "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", "coding" },
+    coding_with_a_prefix = { "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", "coding" },
     no_host = { "GET / HTTP/1.1\r\n\r\n", "host" },
     two_hosts = { "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "host" },
     empty_host = { "GET / HTTP/1.1\r\nHost:\r\n\r\n", "host" },
-    bad_host = { "GET / HTTP/1.1\r\nHost: a/b\r\n\r\n", "host" },
-    bad_port = { "GET / HTTP/1.1\r\nHost: a:b\r\n\r\n", "host" },
+    invalid_host = { "GET / HTTP/1.1\r\nHost: a/b\r\n\r\n", "host" },
+    invalid_port = { "GET / HTTP/1.1\r\nHost: a:b\r\n\r\n", "host" },
     folded_header = { "GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", "syntax" },
     space_before_colon = { "GET / HTTP/1.1\r\nHost : a\r\n\r\n", "syntax" },
     bare_carriage_return = { "GET / HTTP/1.1\r\nHost: a\rb\r\n\r\n", "syntax" },
@@ -52,16 +54,16 @@
     asterisk_target = { "OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n", "target" },
     fragment_in_target = { "GET /a#b HTTP/1.1\r\nHost: a\r\n\r\n", "target" },
 )]
-fn ambiguous_requests_are_refused(head: &str, expected: &str) {
-    assert_eq!(refusal(head), Some(expected));
+fn ambiguous_and_invalid_requests_are_rejected(head: &str, expected: &str) {
+    assert_eq!(rejection(head), Some(expected));
 }
 
 #[test]
-fn heads_beyond_the_limit_are_refused_complete_or_not() {
+fn too_long_heads_are_rejected_whether_complete_or_not() {
     let long = format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "x".repeat(MAX_HEAD_BYTES));
-    assert_eq!(refusal(&long), Some("too long"));
-    assert_eq!(refusal(&long[..MAX_HEAD_BYTES]), Some("too long"));
-    assert_eq!(refusal(&long[..MAX_HEAD_BYTES - 1]), None);
+    assert_eq!(rejection(&long), Some("too long"));
+    assert_eq!(rejection(&long[..MAX_HEAD_BYTES]), Some("too long"));
+    assert_eq!(rejection(&long[..MAX_HEAD_BYTES - 1]), None);
 }
 
 #[yare::parameterized(
@@ -69,8 +71,9 @@
     absolute = { "GET http://one.example/a HTTP/1.1\r\nHost: two.example\r\n\r\n", "one.example", "/a" },
     literal_v6 = { "GET / HTTP/1.1\r\nHost: [::1]:80\r\n\r\n", "[::1]", "/" },
 )]
-fn hosts_and_targets_are_read(head: &str, host: &str, target: &str) {
-    let (head, _) = parse_request(head.as_bytes(), MAX_HEAD_BYTES).expect("sound").expect("whole");
+fn hosts_and_targets_are_parsed(head: &str, host: &str, target: &str) {
+    let (head, _) =
+        parse_request(head.as_bytes(), MAX_HEAD_BYTES).expect("valid").expect("complete");
     assert_eq!((head.host.as_str(), head.target.as_str()), (host, target));
 }
 
@@ -84,7 +87,7 @@
     both = { "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", Method::GET, None },
     garbage = { "\u{1}\u{2}\u{3}", Method::GET, None },
 )]
-fn responses_are_framed(head: &str, method: Method, expected: Option<(Framing, bool)>) {
+fn response_framing_is_parsed(head: &str, method: Method, expected: Option<(Framing, bool)>) {
     let parsed = parse_response(head.as_bytes(), &method);
     let framing = parsed.ok().flatten().map(|(head, _)| (head.framing, head.keep_alive));
     assert_eq!(framing, expected);
@@ -98,20 +101,22 @@
     longer_than_its_size = { "2\r\nabc\r\n0\r\n\r\n" },
     line_feed_only = { "3\nabc\r\n0\r\n\r\n" },
 )]
-fn broken_chunks_are_refused(body: &str) {
+fn invalid_chunks_are_rejected(body: &str) {
     let mut buf = BytesMut::from(body);
     let mut decoder = Decoder::new(Framing::Chunked);
     loop {
-        match decoder.next(&mut buf) {
-            Ok(Piece::Data(_)) => {}
-            Ok(piece) => panic!("{piece:?}"),
+        match decoder.decode(&mut buf) {
+            Ok(Progress::Data(_)) => {}
+            Ok(decoded) => panic!("{decoded:?}"),
             Err(_) => return,
         }
     }
 }
 
-/// Takes a body out of `bytes`, which arrive in parts that end at `cuts`.
-fn decode(framing: Framing, bytes: &[u8], cuts: &[usize]) -> Result<(Vec<u8>, usize), Malformed> {
+/// Decodes a body from `bytes`, which are received in parts that end at `cuts`.
+///
+/// Returns the body and the number of bytes that follow it.
+fn decode(framing: Framing, bytes: &[u8], cuts: &[usize]) -> Result<(Vec<u8>, usize), ParseError> {
     let mut decoder = Decoder::new(framing);
     let mut buf = BytesMut::new();
     let mut body = Vec::new();
@@ -123,10 +128,10 @@
         buf.extend_from_slice(&bytes[from..to]);
         from = to;
         loop {
-            match decoder.next(&mut buf)? {
-                Piece::Data(data) => body.extend_from_slice(&data),
-                Piece::NeedMore => break,
-                Piece::End => return Ok((body, bytes.len() - from + buf.len())),
+            match decoder.decode(&mut buf)? {
+                Progress::Data(data) => body.extend_from_slice(&data),
+                Progress::NeedMore => break,
+                Progress::End => return Ok((body, bytes.len() - from + buf.len())),
             }
         }
     }
@@ -140,11 +145,12 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: an answer is mixed up or cut when it comes in small packets.
-    /// Sequence: a body arrives in any parts, with the next message behind it.
-    /// Cause: state that is lost at the end of a part, or bytes taken beyond the body.
+    /// Guards against corrupted or truncated bodies when a message arrives in small packets.
+    ///
+    /// The body arrives in arbitrary parts and the next message follows it. The decoder must keep
+    /// its state between parts and must not consume bytes beyond the body.
     #[test]
-    fn bodies_are_taken_whole_however_they_arrive(
+    fn bodies_are_decoded_completely_however_they_are_split(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..50), 0..5),
         cuts in prop::collection::vec(any::<usize>(), 0..10),
         next in prop::collection::vec(any::<u8>(), 0..20),
@@ -164,7 +170,7 @@
     }
 
     #[test]
-    fn any_bytes_are_parsed_or_refused_without_a_panic(
+    fn arbitrary_bytes_do_not_cause_a_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..300),
         cuts in prop::collection::vec(any::<usize>(), 0..4),
     ) {
@@ -173,11 +179,12 @@
         let _ = decode(Framing::Chunked, &bytes, &cuts);
     }
 
-    /// Symptom: an upstream gets another request than the caller sent.
-    /// Sequence: a request is parsed, written anew and parsed by the next hop.
-    /// Cause: a value that passes the parser and breaks out of its line when written.
+    /// Guards against an upstream that receives a different request than the caller sent.
+    ///
+    /// A request is parsed, serialized and parsed by the next hop. No value that the parser accepts
+    /// may break out of its line when it is serialized.
     #[test]
-    fn what_is_written_is_read_back_the_same(
+    fn serialized_requests_parse_to_the_same_request(
         target in "/[!-\"$-~]{0,30}",
         name in "[a-z][a-z0-9-]{0,10}",
         value in "[ -~]{0,30}",
@@ -187,10 +194,11 @@
         let Ok(Some((head, _))) = parse_request(text.as_bytes(), MAX_HEAD_BYTES) else {
             return Ok(());
         };
-        let written = write_request(&head.method, &head.target, &head.headers);
-        let again = parse_request(&written, MAX_HEAD_BYTES).expect("sound").expect("whole").0;
-        prop_assert_eq!(again.target, head.target);
-        prop_assert_eq!(again.headers, head.headers);
-        prop_assert_eq!(again.framing, head.framing);
+        let serialized = write_request(&head.method, &head.target, &head.headers);
+        let reparsed =
+            parse_request(&serialized, MAX_HEAD_BYTES).expect("valid").expect("complete").0;
+        prop_assert_eq!(reparsed.target, head.target);
+        prop_assert_eq!(reparsed.headers, head.headers);
+        prop_assert_eq!(reparsed.framing, head.framing);
     }
 }
--- a/crates/web/src/hop.rs
+++ b/crates/web/src/hop.rs
@@ -1,9 +1,9 @@
-//! Headers that concern one connection only, and those that tell who asks.
+//! Hop-by-hop headers, and headers that identify the caller.
 
 use http::header::{HeaderName, AUTHORIZATION, COOKIE};
 use http::HeaderMap;
 
-/// Headers that concern one connection only and are never passed on.
+/// Hop-by-hop headers, which apply to one connection only and are never forwarded.
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -15,8 +15,8 @@
     "expect",
 ];
 
-/// Removes the headers that concern one connection only, those that `Connection` lists included,
-/// and the length, which is written anew.
+/// Removes the hop-by-hop headers, including those listed in `Connection`, and `Content-Length`,
+/// which is set again when the message is written.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(http::header::CONNECTION)
@@ -34,7 +34,9 @@
     headers.remove(http::header::CONTENT_LENGTH);
 }
 
-/// Returns the values by which upstreams tell callers apart, empty where there is none.
+/// Returns the values of `Authorization` and `Cookie`, by which upstreams distinguish callers.
+///
+/// A missing header gives an empty value; of a repeated header, only the first value is returned.
 pub fn credentials(headers: &HeaderMap) -> [&[u8]; 2] {
     [AUTHORIZATION, COOKIE].map(|name| headers.get(name).map_or(&[][..], |value| value.as_bytes()))
 }
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,23 +1,23 @@
-//! HTTP/1.1 plumbing shared by every role, on monoio.
+//! HTTP/1.1 server and client on monoio, shared by all processes.
 //!
-//! [`h1`] frames messages; [`serve`] and [`Conn`] are a server and a client
-//! for short messages. There bodies are read whole before a request or response is handed on, so a
-//! connection is only reused once its last message was consumed in full: a
-//! reused connection can never hand one caller the tail of another's answer.
-//! Any error on a connection closes it.
+//! [`h1`] parses, frames and writes messages; [`serve`] and [`Conn`] are a server and a client for
+//! short messages. Both buffer the whole body before they return a request or response. A
+//! connection is therefore reused only after its last message was consumed completely, and one
+//! caller never receives the rest of another caller's response. After any error the connection is
+//! closed.
 
 mod client;
 pub mod h1;
 mod hop;
 mod server;
 
-pub use client::{Conn, Error, KeepAlive};
+pub use client::{Conn, Error, TcpKeepalive};
 pub use hop::{credentials, strip_connection_headers};
 pub use server::{serve, Handler};
 
 use bytes::Bytes;
 
-/// Longest body of a message that is read whole, in bytes.
+/// Maximum length of a body that [`serve`] and [`Conn`] buffer, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// A request with its whole body.
@@ -26,29 +26,35 @@
 /// A response with its whole body.
 pub type Response = http::Response<Bytes>;
 
-/// The runtime every process of oatcove runs on: one thread, timers on.
+/// The runtime of every oatcove process: single-threaded, with timers.
 pub type Runtime = monoio::Runtime<monoio::time::TimeDriver<monoio::LegacyDriver>>;
 
 /// Builds the runtime of one process or test.
 ///
-/// The brief forbids io_uring, so this is the one place a runtime is made,
-/// and it is always monoio's legacy (epoll) driver.
+/// io_uring must not be used. Runtimes are therefore built only here, always with monoio's legacy
+/// (epoll) driver.
 ///
 /// # Panics
 ///
-/// Panics when the operating system refuses an epoll instance.
+/// Panics when the operating system cannot create an epoll instance.
 pub fn runtime() -> Runtime {
     monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_timer()
         .build()
-        .expect("epoll runtime starts")
+        .expect("the epoll runtime should start")
 }
 
-/// Sends one request on a fresh connection to `addr` and returns the whole response.
+/// Sends one request on a new connection to `addr` and returns the whole response.
+///
+/// `timeout` applies to connecting and to the exchange separately.
 ///
 /// # Errors
 ///
-/// As [`Conn::connect`] and [`Conn::send`], each bounded by `timeout`.
+/// Returns the errors of [`Conn::connect`] and [`Conn::send`].
+///
+/// # Panics
+///
+/// Panics when `path` is not a valid URI.
 pub async fn fetch(
     addr: std::net::SocketAddr,
     method: http::Method,
@@ -62,19 +68,23 @@
         .uri(path)
         .header(http::header::HOST, addr.to_string())
         .body(body)
-        .expect("method and path form a request");
+        .expect("method and path form a valid request");
     conn.send(request, timeout).await
 }
 
-/// Marks a response that must not be sent: the server closes the connection instead.
+/// Response extension that makes the server close the connection instead of sending the response.
 ///
-/// Stand-ins use it to lose an answer after the work took effect, the way a
-/// cut connection does.
+/// Test servers use it to lose a response after the request took effect, as a broken connection
+/// does.
 #[derive(Clone, Copy, Debug)]
 pub struct DropConnection;
 
-/// Returns true when the sender of `headers` ends the connection after this message.
-pub fn closes(headers: &http::HeaderMap) -> bool {
+/// Returns true when `headers` say with `Connection: close` that the sender closes the connection
+/// after this message.
+///
+/// Only the first `Connection` header is compared, as a whole; a list such as `close, te` does not
+/// match.
+pub fn has_connection_close(headers: &http::HeaderMap) -> bool {
     let connection = headers.get(http::header::CONNECTION);
     connection.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
 }
@@ -86,7 +96,7 @@
     response
 }
 
-/// Builds a JSON response with `status` from already-encoded JSON bytes.
+/// Builds a JSON response with `status` from encoded JSON.
 pub fn json(status: http::StatusCode, body: Vec<u8>) -> Response {
     let mut response = reply(status, body);
     response
@@ -95,8 +105,8 @@
     response
 }
 
-/// Returns the value of query parameter `key` in `uri`, undecoded.
-pub fn query<'a>(uri: &'a http::Uri, key: &str) -> Option<&'a str> {
+/// Returns the value of the first query parameter `key` in `uri`, without percent-decoding.
+pub fn query_param<'a>(uri: &'a http::Uri, key: &str) -> Option<&'a str> {
     uri.query()?.split('&').find_map(|pair| match pair.split_once('=') {
         Some((name, value)) if name == key => Some(value),
         _ => None,
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,4 +1,4 @@
-//! The accept loop and per-connection loop of an HTTP/1.1 server.
+//! HTTP/1.1 server for short messages.
 
 use std::future::Future;
 use std::pin::pin;
@@ -12,73 +12,80 @@
 
 use crate::{h1, Request, Response, MAX_BODY_BYTES};
 
-/// Longest request head, in bytes; as most HTTP servers have it.
-const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum length of a request head, in bytes; a common limit among HTTP servers.
+const MAX_REQUEST_HEAD_BYTES: usize = 16 * 1024;
 
-/// Answers requests; one value serves every connection of a server.
+/// Handles the requests of a server; all connections share one value.
 pub trait Handler: 'static {
     /// Returns the whole response to `request`; `peer` is the caller's address.
     ///
-    /// The future is dropped midway when the caller closes its connection.
+    /// The future is dropped before it completes when the caller closes its connection without
+    /// having sent anything after `request`.
     fn handle(
         &self,
         request: Request,
         peer: std::net::SocketAddr,
     ) -> impl Future<Output = Response>;
 
-    /// Returns how many connections are served at once; further ones are closed at once.
+    /// Returns the maximum number of concurrent connections; further ones are closed on accept.
     fn max_connections(&self) -> usize {
         usize::MAX
     }
 }
 
-/// Accepts connections on `listener` forever, each served by its own task.
+/// Accepts connections on `listener` and serves each in its own task; never returns.
 pub async fn serve<H: Handler>(listener: TcpListener, handler: Rc<H>) {
-    let open = Rc::new(());
+    let open_connections = Rc::new(());
     loop {
         match listener.accept().await {
-            Ok(_) if Rc::strong_count(&open) > handler.max_connections() => {}
+            Ok(_) if Rc::strong_count(&open_connections) > handler.max_connections() => {}
             Ok((stream, peer)) => {
                 let _ = stream.set_nodelay(true);
-                let (handler, open) = (handler.clone(), open.clone());
+                let (handler, open_connections) = (handler.clone(), open_connections.clone());
                 monoio::spawn(async move {
-                    connection(stream, peer, handler).await;
-                    drop(open);
+                    serve_connection(stream, peer, handler).await;
+                    drop(open_connections);
                 });
             }
             Err(err) => {
-                // Running out of file descriptors shows here; back off instead of spinning.
-                log::warn!("accept failed: {err}");
+                // Accepting fails when the process runs out of file descriptors. A retry without a
+                // delay would be a busy loop.
+                log::warn!("failed to accept a connection: {err}");
                 monoio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
         }
     }
 }
 
-async fn connection<H: Handler>(stream: TcpStream, peer: std::net::SocketAddr, handler: Rc<H>) {
+async fn serve_connection<H: Handler>(
+    stream: TcpStream,
+    peer: std::net::SocketAddr,
+    handler: Rc<H>,
+) {
     let (read, write) = stream.into_split();
     let mut reader = h1::Reader::new(read);
     let mut writer = h1::Writer::new(write);
     loop {
-        let (request, caller_closes) = match receive(&mut reader, &mut writer).await {
+        let (request, caller_closes) = match read_request(&mut reader, &mut writer).await {
             Ok(received) => received,
             Err(h1::ReadError::Malformed(err)) => {
-                log::debug!("bad request from {peer}: {err}");
-                let _ = send(&mut writer, crate::reply(err.status(), format!("{err}\n"))).await;
+                log::debug!("rejected a malformed request from {peer}: {err}");
+                let _ = send_response(&mut writer, crate::reply(err.status(), format!("{err}\n")))
+                    .await;
                 writer.shutdown().await;
                 return;
             }
             Err(h1::ReadError::Closed | h1::ReadError::Io(_)) => return,
         };
-        let mut handling = pin!(handler.handle(request, peer));
-        // A caller that goes away needs no answer: dropping the handler drops the work, which
-        // would otherwise go on to hold room that callers who still wait could use.
+        let mut response_future = pin!(handler.handle(request, peer));
+        // A caller that has closed its connection needs no response. Dropping the handler's future
+        // cancels the work, which would otherwise use capacity that waiting callers need.
         let response = match reader.has_buffered() {
-            true => handling.await,
+            true => response_future.await,
             false => monoio::select! {
-                response = &mut handling => response,
+                response = &mut response_future => response,
                 more = reader.fill() => match more {
-                    Ok(true) => handling.await,
+                    Ok(true) => response_future.await,
                     Ok(false) | Err(_) => return,
                 },
             },
@@ -86,27 +93,27 @@
         if response.extensions().get::<crate::DropConnection>().is_some() {
             return;
         }
-        let closing = caller_closes || crate::closes(response.headers());
-        if send(&mut writer, response).await.is_err() || closing {
+        let close = caller_closes || crate::has_connection_close(response.headers());
+        if send_response(&mut writer, response).await.is_err() || close {
             return;
         }
     }
 }
 
-/// Reads a whole request; also tells whether the caller closes after it.
-async fn receive(
+/// Reads a whole request and returns it with whether the connection closes after the response.
+async fn read_request(
     reader: &mut h1::Reader,
     writer: &mut h1::Writer,
 ) -> Result<(Request, bool), h1::ReadError> {
-    let head = reader.request_head(MAX_HEAD_BYTES).await?;
+    let head = reader.request_head(MAX_REQUEST_HEAD_BYTES).await?;
     let mut decoder = h1::Decoder::new(head.framing);
-    let expects = head.headers.get(http::header::EXPECT);
-    if expects.is_some_and(|e| e.as_bytes().eq_ignore_ascii_case(b"100-continue")) {
+    let expect_header = head.headers.get(http::header::EXPECT);
+    if expect_header.is_some_and(|e| e.as_bytes().eq_ignore_ascii_case(b"100-continue")) {
         writer.write(h1::write_response(StatusCode::CONTINUE, &HeaderMap::new())).await?;
     }
     let body = reader.body(&mut decoder, MAX_BODY_BYTES).await?;
     let uri = http::Uri::try_from(head.target.as_str());
-    let uri = uri.map_err(|err| h1::Malformed::Syntax(err.to_string()))?;
+    let uri = uri.map_err(|err| h1::ParseError::Syntax(err.to_string()))?;
     let mut request = http::Request::new(body);
     *request.method_mut() = head.method;
     *request.uri_mut() = uri;
@@ -114,7 +121,7 @@
     Ok((request, !head.keep_alive))
 }
 
-async fn send(writer: &mut h1::Writer, response: Response) -> std::io::Result<()> {
+async fn send_response(writer: &mut h1::Writer, response: Response) -> std::io::Result<()> {
     let (parts, body): (_, Bytes) = response.into_parts();
     let mut headers = parts.headers;
     headers.remove(TRANSFER_ENCODING);
--- a/crates/web/src/server/tests.rs
+++ b/crates/web/src/server/tests.rs
@@ -8,52 +8,54 @@
 
 use crate::server::{serve, Handler};
 
-/// Answers with the path after 50 ms, and counts what began and what ended.
+/// Responds with the path after 50 ms, and counts started and completed requests.
 #[derive(Default)]
-struct Slow {
-    began: Cell<u32>,
-    ended: Cell<u32>,
+struct SlowHandler {
+    started: Cell<u32>,
+    completed: Cell<u32>,
 }
 
-impl Handler for Slow {
+impl Handler for SlowHandler {
     async fn handle(&self, request: crate::Request, _peer: SocketAddr) -> crate::Response {
-        self.began.set(self.began.get() + 1);
+        self.started.set(self.started.get() + 1);
         monoio::time::sleep(Duration::from_millis(50)).await;
-        self.ended.set(self.ended.get() + 1);
+        self.completed.set(self.completed.get() + 1);
         crate::reply(http::StatusCode::OK, request.uri().path().to_owned())
     }
 }
 
-async fn start() -> (Rc<Slow>, TcpStream) {
+async fn start_server() -> (Rc<SlowHandler>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("address");
-    let slow = Rc::new(Slow::default());
-    monoio::spawn(serve(listener, slow.clone()));
-    (slow, TcpStream::connect(addr).await.expect("connects"))
+    let handler = Rc::new(SlowHandler::default());
+    monoio::spawn(serve(listener, handler.clone()));
+    (handler, TcpStream::connect(addr).await.expect("connects"))
 }
 
-/// Symptom: upstreams go on working for callers that are long gone.
-/// Sequence: a caller sends a request and closes its connection at once.
-/// Cause: noticing the close only when the answer is written.
+/// Guards against work that continues for callers that have disconnected.
+///
+/// A caller sends a request and closes its connection immediately. The server must notice the close
+/// before it writes the response.
 #[test]
-fn a_caller_that_goes_away_drops_its_request() {
+fn a_disconnecting_caller_cancels_its_request() {
     crate::runtime().block_on(async {
-        let (slow, mut stream) = start().await;
+        let (handler, mut stream) = start_server().await;
         stream.write_all(b"GET /a HTTP/1.1\r\nhost: x\r\n\r\n").await.0.expect("sent");
         monoio::time::sleep(Duration::from_millis(10)).await;
         drop(stream);
         monoio::time::sleep(Duration::from_millis(100)).await;
-        assert_eq!((slow.began.get(), slow.ended.get()), (1, 0));
+        assert_eq!((handler.started.get(), handler.completed.get()), (1, 0));
     });
 }
 
-/// Symptom: a request sent before the last answer came is lost or answered out of order.
-/// Sequence: two requests arrive together on one connection.
-/// Cause: watching for the caller's close reads the second request; it must be kept.
+/// Guards against pipelined requests that are lost or answered out of order.
+///
+/// Two requests arrive together on one connection. Waiting for the caller to close the connection
+/// reads the second request, which must be kept.
 #[test]
-fn a_request_sent_early_is_answered_in_its_turn() {
+fn pipelined_requests_are_answered_in_order() {
     crate::runtime().block_on(async {
-        let (slow, mut stream) = start().await;
+        let (handler, mut stream) = start_server().await;
         let both = b"GET /a HTTP/1.1\r\nhost: x\r\n\r\nGET /b HTTP/1.1\r\nhost: x\r\n\r\n";
         stream.write_all(&both[..]).await.0.expect("sent");
         let mut text = String::new();
@@ -64,6 +66,6 @@
             text.push_str(&String::from_utf8_lossy(&bytes[..read]));
         }
         assert!(text.find("/a").expect("first answer") < text.find("/b").expect("second"));
-        assert_eq!(slow.ended.get(), 2);
+        assert_eq!(handler.completed.get(), 2);
     });
 }
