--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -8,11 +8,11 @@
 
 mod client;
 pub mod h1;
-mod hop;
+mod headers;
 mod server;
 
 pub use client::{Conn, Error, TcpKeepalive};
-pub use hop::{credentials, strip_connection_headers};
+pub use headers::{credentials, strip_connection_headers};
 pub use server::{serve, Handler};
 
 use bytes::Bytes;
