--- a/crates/emu/src/bin/platform.rs
+++ b/crates/emu/src/bin/platform.rs
@@ -1,4 +1,4 @@
-//! `oatcove-platform`: the stand-in for the platform's table service and VM list.
+//! `oatcove-platform`: runs the stand-in for the platform's table service and VM list.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,16 +16,20 @@
 
 fn main() {
     let args = args().run();
-    emu_log();
+    init_logger();
     let mut runtime = web::runtime();
     runtime.block_on(async move {
-        let listener = monoio::net::TcpListener::bind(args.listen).expect("binds");
-        println!("listening on {}", listener.local_addr().expect("addr"));
-        web::serve(listener, Rc::new(emu::table::Table::default())).await;
+        let listener =
+            monoio::net::TcpListener::bind(args.listen).expect("failed to bind the listen address");
+        println!(
+            "listening on {}",
+            listener.local_addr().expect("failed to read the bound address")
+        );
+        web::serve(listener, Rc::new(emu::platform::Platform::default())).await;
     });
 }
 
-fn emu_log() {
+fn init_logger() {
     let _ = simplelog::WriteLogger::init(
         log::LevelFilter::Info,
         simplelog::Config::default(),
--- a/crates/emu/src/bin/upstream.rs
+++ b/crates/emu/src/bin/upstream.rs
@@ -1,4 +1,4 @@
-//! `oatcove-upstream`: the stand-in for one upstream VM.
+//! `oatcove-upstream`: runs the stand-in for one upstream VM.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,13 +13,13 @@
     /// Address to listen on, ip:port
     #[bpaf(long("listen"), argument("ADDR"))]
     listen: SocketAddr,
-    /// Requests run at once
+    /// Maximum number of requests run at once
     #[bpaf(long("slots"), argument("N"), fallback(6))]
     slots: usize,
-    /// Connections taken from all callers together
+    /// Maximum number of open connections, over all callers
     #[bpaf(long("connections"), argument("N"), fallback(260))]
     connections: usize,
-    /// Requests queued for a slot before shedding
+    /// Maximum number of requests queued for a slot; further ones are shed
     #[bpaf(long("queue-limit"), argument("N"), fallback(250))]
     queue_limit: usize,
     /// Mean service time of a light request, in ms
@@ -28,10 +28,10 @@
     /// Mean service time of a heavy request, in ms
     #[bpaf(long("heavy-ms"), argument("MS"), fallback(40))]
     heavy_ms: u64,
-    /// Extra time per request during the first this many ms
+    /// Length of the cold start, in ms; until it ends, each request takes this much longer
     #[bpaf(long("cold-start-ms"), argument("MS"), fallback(0))]
     cold_start_ms: u64,
-    /// Age of the load report, in ms
+    /// Interval between refreshes of the load report, in ms
     #[bpaf(long("load-lag-ms"), argument("MS"), fallback(200))]
     load_lag_ms: u64,
 }
@@ -43,19 +43,23 @@
         simplelog::Config::default(),
         std::io::stderr(),
     );
-    let shape = emu::upstream::Shape {
+    let config = emu::upstream::UpstreamConfig {
         slots: args.slots,
-        connections: args.connections,
+        max_connections: args.connections,
         queue_limit: args.queue_limit,
-        light: Duration::from_millis(args.light_ms),
-        heavy: Duration::from_millis(args.heavy_ms),
+        light_service_time: Duration::from_millis(args.light_ms),
+        heavy_service_time: Duration::from_millis(args.heavy_ms),
         cold_start: Duration::from_millis(args.cold_start_ms),
-        load_lag: Duration::from_millis(args.load_lag_ms),
+        load_refresh_interval: Duration::from_millis(args.load_lag_ms),
     };
     let mut runtime = web::runtime();
     runtime.block_on(async move {
-        let listener = monoio::net::TcpListener::bind(args.listen).expect("binds");
-        println!("listening on {}", listener.local_addr().expect("addr"));
-        web::serve(listener, Rc::new(emu::upstream::Upstream::new(shape))).await;
+        let listener =
+            monoio::net::TcpListener::bind(args.listen).expect("failed to bind the listen address");
+        println!(
+            "listening on {}",
+            listener.local_addr().expect("failed to read the bound address")
+        );
+        web::serve(listener, Rc::new(emu::upstream::Upstream::new(config))).await;
     });
 }
--- a/crates/emu/src/lib.rs
+++ b/crates/emu/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for the systems oatcove serves, for tests and the demo.
+//! Stand-ins for the systems that oatcove works with, for tests and the demo.
 //!
-//! [`table`] stands in for the platform's transactional table service and VM
-//! list, with the brief's faults on command; [`upstream`] stands in for one
-//! upstream VM with slots, shedding, drain, stragglers and a lagging load
-//! report, counting executions per idempotency key.
+//! [`platform`] stands in for the platform's transactional table service and
+//! VM list, with fault injection. [`upstream`] stands in for one upstream VM:
+//! it has a limited number of slots, sheds load, drains, can be made slow, serves a
+//! load report that lags, and counts executions per idempotency key.
 
-pub mod table;
+pub mod platform;
 pub mod upstream;
--- a/crates/emu/src/table.rs
+++ b/crates/emu/src/platform.rs
@@ -1,9 +1,9 @@
-//! The platform stand-in: versioned rows with transactions, and the VM list.
+//! The platform stand-in: a transactional store of versioned rows, and the VM list.
 //!
-//! Every commit gets the next version of the whole service, so a reader can
-//! ask for "rows written after version V" in one read. Faults set through
-//! `POST /v1/faults` make it unavailable, slow, lose the answer to a commit
-//! that took effect or that takes effect only later, or serve the VM list late.
+//! Versions are global to the store, not per table: each commit gets the next
+//! one. A single read returns all rows of a table written after a given version.
+//! `POST /v1/faults` injects faults: an outage, a delay of each response, a lost
+//! response to a commit that is applied at once or only later, or a stale VM list.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
 use smol_str::SmolStr;
 use store::proto;
 
-/// State of the stand-in, owned by its one server task.
+/// The platform stand-in, a [`web::Handler`] that keeps all its state in memory.
 #[derive(Default)]
-pub struct Table {
+pub struct Platform {
     state: RefCell<State>,
 }
 
@@ -23,15 +23,16 @@
 struct State {
     rows: BTreeMap<(SmolStr, SmolStr), proto::Row>,
     head: proto::Version,
-    /// Every change of the VM list with the time it happened, oldest first.
+    /// Every change of the VM list and when it was received, oldest first.
     vm_log: Vec<(Instant, proto::Vm)>,
     faults: proto::Faults,
-    /// Transactions that got no answer and are still to be tried, with the time to do so.
-    late: Vec<(Instant, proto::Txn)>,
+    /// Transactions that got no response and are not applied yet, each with the time at which it is
+    /// due.
+    delayed_commits: Vec<(Instant, proto::Txn)>,
 }
 
 impl State {
-    /// Commits `txn`, all writes or none.
+    /// Applies all writes of `txn`, or none if any row is not at its expected version.
     fn apply(&mut self, txn: proto::Txn) -> Result<proto::Committed, proto::Conflict> {
         for write in &txn.writes {
             let current =
@@ -59,29 +60,29 @@
     }
 }
 
-impl web::Handler for Table {
+impl web::Handler for Platform {
     async fn handle(&self, request: web::Request, _peer: std::net::SocketAddr) -> web::Response {
         let faults = self.state.borrow().faults.clone();
-        let admin = request.uri().path() == "/v1/faults";
-        if faults.delay_ms > 0 && !admin {
+        let is_fault_request = request.uri().path() == "/v1/faults";
+        if faults.delay_ms > 0 && !is_fault_request {
             monoio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         }
-        self.commit_late();
+        self.apply_delayed_commits();
         match () {
-            _ if admin => self.set_faults(&request),
+            _ if is_fault_request => self.post_faults(&request),
             _ if faults.outage => web::reply(StatusCode::SERVICE_UNAVAILABLE, "outage\n"),
             _ => self.route(&request),
         }
     }
 }
 
-impl Table {
-    /// Sets the faults to inject from now on, as `POST /v1/faults` does.
-    pub fn set(&self, faults: proto::Faults) {
+impl Platform {
+    /// Replaces the faults to inject, as `POST /v1/faults` does.
+    pub fn set_faults(&self, faults: proto::Faults) {
         self.state.borrow_mut().faults = faults;
     }
 
-    /// Returns the rows of `table`, for tests that check the stored truth.
+    /// Returns the stored rows of `table`, ordered by key. Injected faults do not apply.
     pub fn rows(&self, table: &str) -> Vec<proto::Row> {
         let state = self.state.borrow();
         state.rows.iter().filter(|((t, _), _)| t == table).map(|(_, row)| row.clone()).collect()
@@ -89,26 +90,26 @@
 
     fn route(&self, request: &web::Request) -> web::Response {
         let path = request.uri().path();
-        let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-        match (request.method(), parts.as_slice()) {
+        let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+        match (request.method(), segments.as_slice()) {
             (&Method::GET, ["v1", "rows", table]) => {
                 let since = web::query(request.uri(), "since").and_then(|v| v.parse().ok());
-                self.since(table, since.unwrap_or(0))
+                self.rows_since(table, since.unwrap_or(0))
             }
-            // Keys may hold slashes, as those of audit records do.
-            (&Method::GET, ["v1", "rows", table, key @ ..]) => self.get(table, &key.join("/")),
+            // Keys may contain slashes; those of audit records do.
+            (&Method::GET, ["v1", "rows", table, key @ ..]) => self.get_row(table, &key.join("/")),
             (&Method::POST, ["v1", "txn"]) => self.commit(request.body()),
             (&Method::GET, ["v1", "vms"]) => match web::query(request.uri(), "since") {
                 Some(since) => self.vm_changes(since.parse().unwrap_or(0)),
-                None => self.vms(),
+                None => self.list_vms(),
             },
             (&Method::PUT, ["v1", "vms"]) => self.put_vm(request.body()),
-            // Not 404, which a reader would take for "no such row".
+            // Not 404: a client would read that as a missing row.
             _ => web::reply(StatusCode::BAD_REQUEST, "no such route\n"),
         }
     }
 
-    fn get(&self, table: &str, key: &str) -> web::Response {
+    fn get_row(&self, table: &str, key: &str) -> web::Response {
         let state = self.state.borrow();
         match state.rows.get(&(table.into(), key.into())) {
             Some(row) => encode(StatusCode::OK, row),
@@ -116,7 +117,7 @@
         }
     }
 
-    fn since(&self, table: &str, since: proto::Version) -> web::Response {
+    fn rows_since(&self, table: &str, since: proto::Version) -> web::Response {
         let state = self.state.borrow();
         let rows = state
             .rows
@@ -136,8 +137,8 @@
         if state.faults.late_commits > 0 {
             state.faults.late_commits -= 1;
             let due = Instant::now() + Duration::from_millis(state.faults.late_ms);
-            state.late.push((due, txn));
-            return unanswered(web::reply(StatusCode::OK, ""));
+            state.delayed_commits.push((due, txn));
+            return without_response(web::reply(StatusCode::OK, ""));
         }
         let response = match state.apply(txn) {
             Ok(committed) => encode(StatusCode::OK, &committed),
@@ -147,38 +148,42 @@
             0 => response,
             _ => {
                 state.faults.lose_acks -= 1;
-                unanswered(response)
+                without_response(response)
             }
         }
     }
 
-    /// Tries the transactions whose time has come.
-    fn commit_late(&self) {
+    /// Applies the delayed transactions that are due. Each request calls this: there is no timer.
+    fn apply_delayed_commits(&self) {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
-        let (due, later): (Vec<_>, Vec<_>) = state.late.drain(..).partition(|(at, _)| *at <= now);
-        state.late = later;
+        let (due, not_due): (Vec<_>, Vec<_>) =
+            state.delayed_commits.drain(..).partition(|(at, _)| *at <= now);
+        state.delayed_commits = not_due;
         for (_, txn) in due {
+            // A conflict is dropped: the client was never told the result.
             let _ = state.apply(txn);
         }
     }
 
-    /// Returns how many changes of the VM log are visible under the lag fault.
-    fn visible_vm_changes(state: &State) -> usize {
+    /// Returns how many changes of the VM log are older than the injected lag.
+    fn visible_vm_change_count(state: &State) -> usize {
         let lag = Duration::from_millis(state.faults.vm_lag_ms);
         let cutoff = Instant::now().checked_sub(lag).unwrap_or_else(Instant::now);
         state.vm_log.partition_point(|(at, _)| *at <= cutoff)
     }
 
-    /// Folds `changes` into the latest state per VM.
-    fn fold(changes: &[(Instant, proto::Vm)]) -> BTreeMap<std::net::SocketAddr, proto::Vm> {
+    /// Returns the latest state of each VM in `changes`.
+    fn latest_by_addr(
+        changes: &[(Instant, proto::Vm)],
+    ) -> BTreeMap<std::net::SocketAddr, proto::Vm> {
         changes.iter().map(|(_, vm)| (vm.addr, vm.clone())).collect()
     }
 
-    fn vms(&self) -> web::Response {
+    fn list_vms(&self) -> web::Response {
         let state = self.state.borrow();
-        let visible = Self::visible_vm_changes(&state);
-        let list: Vec<proto::Vm> = Self::fold(&state.vm_log[..visible])
+        let visible_count = Self::visible_vm_change_count(&state);
+        let list: Vec<proto::Vm> = Self::latest_by_addr(&state.vm_log[..visible_count])
             .into_values()
             .filter(|vm| vm.state != proto::VmState::Gone)
             .collect();
@@ -187,10 +192,10 @@
 
     fn vm_changes(&self, since: proto::Version) -> web::Response {
         let state = self.state.borrow();
-        let visible = Self::visible_vm_changes(&state);
-        let from = (since as usize).min(visible);
-        let vms = Self::fold(&state.vm_log[from..visible]).into_values().collect();
-        encode(StatusCode::OK, &proto::VmChanges { head: visible as proto::Version, vms })
+        let visible_count = Self::visible_vm_change_count(&state);
+        let from = (since as usize).min(visible_count);
+        let vms = Self::latest_by_addr(&state.vm_log[from..visible_count]).into_values().collect();
+        encode(StatusCode::OK, &proto::VmChanges { head: visible_count as proto::Version, vms })
     }
 
     fn put_vm(&self, body: &bytes::Bytes) -> web::Response {
@@ -203,10 +208,10 @@
         }
     }
 
-    fn set_faults(&self, request: &web::Request) -> web::Response {
+    fn post_faults(&self, request: &web::Request) -> web::Response {
         match serde_json::from_slice::<proto::Faults>(request.body()) {
             Ok(faults) => {
-                self.set(faults);
+                self.set_faults(faults);
                 web::reply(StatusCode::OK, "")
             }
             Err(err) => web::reply(StatusCode::BAD_REQUEST, format!("bad faults: {err}\n")),
@@ -214,12 +219,12 @@
     }
 }
 
-/// Marks a response to be lost: the connection closes instead.
-fn unanswered(mut response: web::Response) -> web::Response {
+/// Marks `response` as lost: the server closes the connection instead of sending it.
+fn without_response(mut response: web::Response) -> web::Response {
     response.extensions_mut().insert(web::DropConnection);
     response
 }
 
 fn encode<T: serde::Serialize>(status: StatusCode, value: &T) -> web::Response {
-    web::json(status, serde_json::to_vec(value).expect("encodes"))
+    web::json(status, serde_json::to_vec(value).expect("value serializes as JSON"))
 }
--- a/crates/emu/src/upstream.rs
+++ b/crates/emu/src/upstream.rs
@@ -1,14 +1,20 @@
 //! The upstream stand-in: one upstream VM of one service.
 //!
 //! It runs at most `slots` requests at once and queues up to `queue_limit`
-//! more; beyond that it sheds with 503 and `Retry-After`, which means the
-//! request was not run. Each executed request is counted under its
-//! `idempotency-key` (or `x-request-id`) header, so tests can check
-//! at-most-once. `GET /load` reports in-flight work, refreshed only every
-//! `load_lag`, as real load reports are stale. A request whose `x-oatcove-timeout-ms` passes in the queue is not
-//! run, and one whose caller goes away is dropped. `POST /admin/mode` turns it
-//! into a straggler, starts a drain, makes it fail fast, has it name a limit, say that it leaves or ask
-//! for rest, or has its process crash under requests of some paths.
+//! more. Further requests are shed with 503 and `Retry-After`: they were not
+//! run. A request whose `x-oatcove-timeout-ms` passes in the queue is not run
+//! either, and one whose caller disconnects is cancelled.
+//!
+//! Each executed request is counted under its `idempotency-key` header (or
+//! `x-request-id` without one), so tests can check at-most-once execution.
+//! `GET /load` reports the requests in flight. The number is refreshed only
+//! every [`UpstreamConfig::load_refresh_interval`], since real load reports are
+//! stale too.
+//!
+//! `POST /admin/mode` sets a [`Mode`]: it can slow the upstream down, drain it,
+//! make it fail fast, make it announce a rate limit or that it is leaving, make
+//! it refuse requests with a `Retry-After`, or crash the process when it runs a
+//! request whose path matches.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,110 +24,113 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Header naming the key under which an execution is counted.
+/// Request header with the key under which an execution is counted.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Request header with the time the caller still waits, in milliseconds.
+/// Request header with the time for which the caller waits, in milliseconds.
 pub const TIMEOUT_MS: &str = "x-oatcove-timeout-ms";
 
-/// Header carrying the caller's request id.
+/// Header with the caller's request id; responses repeat it.
 pub const REQUEST_ID: &str = "x-request-id";
 
-/// Response header with the requests a second that it takes from all entry nodes together.
+/// Response header with the requests per second that the upstream accepts from all entry nodes
+/// together.
 pub const LIMIT: &str = "x-oatcove-limit";
 
-/// Response header that says that it is about to leave.
+/// Response header that announces that the upstream is about to stop.
 pub const LEAVING: &str = "x-oatcove-leaving";
 
-/// Exit code of a process that crashed under a request.
+/// Exit code of a process that crashed because of [`Mode::crash_on`].
 pub const EXIT_CRASHED: i32 = 70;
 
-/// `Retry-After` of a refusal after which there may be room at any moment.
-const MOMENT: &str = "0";
+/// `Retry-After` of a refusal that may be retried at once: a slot can become free at any time.
+const RETRY_IMMEDIATELY: &str = "0";
 
-/// Fixed shape of an upstream stand-in.
+/// Capacity and timing of an upstream stand-in, fixed while it runs.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Requests run at once.
+pub struct UpstreamConfig {
+    /// Maximum number of requests run at once.
     pub slots: usize,
-    /// Connections taken from all callers together; further ones are closed.
-    pub connections: usize,
-    /// Requests waiting for a slot before shedding starts.
+    /// Maximum number of open connections, over all callers; further ones are closed.
+    pub max_connections: usize,
+    /// Maximum number of requests that wait for a slot; further ones are shed.
     pub queue_limit: usize,
     /// Mean service time of a light request.
-    pub light: Duration,
+    pub light_service_time: Duration,
     /// Mean service time of a request whose path starts with `/heavy`.
-    pub heavy: Duration,
-    /// Time after start during which every request takes `cold_start` longer.
+    pub heavy_service_time: Duration,
+    /// Length of the cold start. Until it ends, every request takes this much longer as well.
     pub cold_start: Duration,
-    /// Age of the figures `GET /load` reports.
-    pub load_lag: Duration,
+    /// Minimum time between refreshes of what `GET /load` reports.
+    pub load_refresh_interval: Duration,
 }
 
-/// What can be changed while running, through `POST /admin/mode`.
+/// Behavior that can be changed at run time, through `POST /admin/mode`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Mode {
-    /// Service times are multiplied by this when above 1.
+    /// Factor by which service times are multiplied; 0 and 1 leave them as they are.
     #[serde(default)]
     pub straggle_factor: u32,
-    /// Refuses new requests with 503 (not run) and reports `draining` on `/load`.
+    /// Refuses new requests with 503 (they are not run) and reports `draining` on `/load`.
     #[serde(default)]
     pub draining: bool,
-    /// Refuses everything with 500 at once, without running it.
+    /// Answers every new request with 500 at once, without running it.
     #[serde(default)]
     pub fail_fast: bool,
-    /// `/load` reports zero in-flight whatever the truth.
-    #[serde(default)]
-    pub lie: bool,
-    /// The whole process crashes under a request whose path contains this, once its service time
-    /// has passed; no request does when empty.
+    /// Reports no requests in flight on `/load`, whatever the real number.
+    #[serde(default, rename = "lie")]
+    pub report_zero_load: bool,
+    /// Exits the whole process with [`EXIT_CRASHED`] at the end of the service time of a request
+    /// whose path contains this text. Never when empty.
     #[serde(default)]
     pub crash_on: SmolStr,
-    /// What every answer states as the limit, as it stands; nothing when empty.
+    /// Value of the [`LIMIT`] header of every response, sent as is; no header when empty.
     #[serde(default)]
     pub limit: SmolStr,
-    /// Every answer says that it leaves; it goes on serving.
+    /// Sends the [`LEAVING`] header in every response, and keeps serving.
     #[serde(default)]
     pub leaving: bool,
-    /// Refuses new requests at once with 503 and this as `Retry-After`; none are when empty.
-    #[serde(default)]
-    pub rest: SmolStr,
+    /// Refuses new requests at once with 503 and this value as `Retry-After`. Refuses none when
+    /// empty.
+    #[serde(default, rename = "rest")]
+    pub retry_after: SmolStr,
 }
 
-/// What `GET /load` answers.
+/// Load report, the response body of `GET /load`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
-    /// Requests running or queued, as of the last refresh.
+pub struct LoadReport {
+    /// Requests running or queued at the last refresh.
     pub in_flight: u64,
-    /// Slots of this upstream.
+    /// Number of slots of this upstream.
     pub slots: u64,
-    /// Whether the upstream is leaving.
+    /// Whether the upstream is draining; never stale.
     pub draining: bool,
 }
 
-/// Counters of `GET /admin/stats`.
+/// Counters since the start of the process, the response body of `GET /admin/stats`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Requests executed.
     pub executed: u64,
-    /// Requests shed before running.
+    /// Requests refused before they ran, for whatever reason.
     pub shed: u64,
     /// `GET /load` probes answered.
     pub probes: u64,
-    /// Largest execution count of any one idempotency key.
+    /// Largest number of executions of any one idempotency key.
     pub max_executions_per_key: u64,
-    /// Slots of this upstream, for turning probe counts into a share of capacity.
+    /// Number of slots of this upstream, from which the share of its capacity that probes take is
+    /// computed.
     pub slots: u64,
 }
 
-/// One upstream stand-in; all state is owned by its server task.
+/// One upstream stand-in, a [`web::Handler`] that keeps all its state in memory.
 pub struct Upstream {
-    shape: Shape,
+    config: UpstreamConfig,
     started: Instant,
     slots: tokio::sync::Semaphore,
-    waiting: Cell<u64>,
+    queued: Cell<u64>,
     in_flight: Cell<u64>,
-    reported: RefCell<(Instant, Load)>,
+    load_report: RefCell<(Instant, LoadReport)>,
     mode: RefCell<Mode>,
     stats: RefCell<Stats>,
     executions: RefCell<HashMap<SmolStr, u64>>,
@@ -129,16 +138,16 @@
 }
 
 impl Upstream {
-    /// Creates a stand-in of `shape`.
-    pub fn new(shape: Shape) -> Upstream {
-        let load = Load { in_flight: 0, slots: shape.slots as u64, draining: false };
+    /// Creates a stand-in with `config` and the default [`Mode`].
+    pub fn new(config: UpstreamConfig) -> Upstream {
+        let report = LoadReport { in_flight: 0, slots: config.slots as u64, draining: false };
         Upstream {
-            slots: tokio::sync::Semaphore::new(shape.slots),
-            shape,
+            slots: tokio::sync::Semaphore::new(config.slots),
+            config,
             started: Instant::now(),
-            waiting: Cell::new(0),
+            queued: Cell::new(0),
             in_flight: Cell::new(0),
-            reported: RefCell::new((Instant::now(), load)),
+            load_report: RefCell::new((Instant::now(), report)),
             mode: RefCell::new(Mode::default()),
             stats: RefCell::new(Stats::default()),
             executions: RefCell::new(HashMap::new()),
@@ -146,37 +155,38 @@
         }
     }
 
-    /// Changes the mode, as `POST /admin/mode` does.
+    /// Replaces the mode, as `POST /admin/mode` does.
     pub fn set_mode(&self, mode: Mode) {
         *self.mode.borrow_mut() = mode;
     }
 
-    /// Returns how many times requests with `key` were executed.
+    /// Returns how many requests with the idempotency key `key` were executed.
     pub fn executions(&self, key: &str) -> u64 {
         self.executions.borrow().get(key).copied().unwrap_or(0)
     }
 
-    /// Returns when requests came, refused ones included.
+    /// Returns the arrival times, in order, of all requests other than probes and admin requests.
+    /// Refused requests are included.
     pub fn arrivals(&self) -> Vec<Instant> {
         self.arrivals.borrow().clone()
     }
 
-    /// Returns how many requests were executed in all.
+    /// Returns how many requests were executed in total.
     pub fn executions_total(&self) -> u64 {
         self.stats.borrow().executed
     }
 
-    async fn work(&self, request: &web::Request) -> web::Response {
+    async fn run_request(&self, request: &web::Request) -> web::Response {
         self.arrivals.borrow_mut().push(Instant::now());
         let mode = self.mode.borrow().clone();
         let refusal = match () {
             _ if mode.fail_fast => {
                 Some(web::reply(StatusCode::INTERNAL_SERVER_ERROR, "failing fast\n"))
             }
-            _ if !mode.rest.is_empty() => Some(shed("resting", &mode.rest)),
+            _ if !mode.retry_after.is_empty() => Some(shed("resting", &mode.retry_after)),
             _ if mode.draining => Some(shed("draining", "1")),
-            _ if self.waiting.get() >= self.shape.queue_limit as u64 => {
-                Some(shed("queue full", MOMENT))
+            _ if self.queued.get() >= self.config.queue_limit as u64 => {
+                Some(shed("queue full", RETRY_IMMEDIATELY))
             }
             _ => None,
         };
@@ -184,18 +194,18 @@
             self.stats.borrow_mut().shed += 1;
             return refusal;
         }
-        // Guards, because a caller that goes away drops this future midway.
-        let _in_flight = Counted::new(&self.in_flight);
+        // Guards undo the counts on drop: the server drops this future when the caller disconnects.
+        let _in_flight = CountGuard::new(&self.in_flight);
         let queued_at = Instant::now();
         let permit = {
-            let _waiting = Counted::new(&self.waiting);
-            self.slots.acquire().await.expect("never closed")
+            let _queued = CountGuard::new(&self.queued);
+            self.slots.acquire().await.expect("the semaphore is never closed")
         };
-        if patience(request).is_some_and(|patience| queued_at.elapsed() >= patience) {
+        if caller_timeout(request).is_some_and(|timeout| queued_at.elapsed() >= timeout) {
             self.stats.borrow_mut().shed += 1;
-            return shed("deadline passed in queue", MOMENT);
+            return shed("deadline passed in queue", RETRY_IMMEDIATELY);
         }
-        self.count(request);
+        self.record_execution(request);
         monoio::time::sleep(self.service_time(request, &mode)).await;
         if !mode.crash_on.is_empty() && request.uri().path().contains(mode.crash_on.as_str()) {
             std::process::exit(EXIT_CRASHED);
@@ -208,7 +218,7 @@
         response
     }
 
-    fn count(&self, request: &web::Request) {
+    fn record_execution(&self, request: &web::Request) {
         let key =
             request.headers().get(IDEMPOTENCY_KEY).or_else(|| request.headers().get(REQUEST_ID));
         let mut stats = self.stats.borrow_mut();
@@ -223,50 +233,51 @@
 
     fn service_time(&self, request: &web::Request, mode: &Mode) -> Duration {
         let base = match request.uri().path().starts_with("/heavy") {
-            true => self.shape.heavy,
-            false => self.shape.light,
+            true => self.config.heavy_service_time,
+            false => self.config.light_service_time,
         };
-        // Uniform in [0.5, 1.5) of the mean: enough spread for tails without a model.
+        // Uniform in [0.5, 1.5) of the mean: enough variance for a latency tail without a
+        // workload model.
         let jitter = 0.5 + rand::random::<f64>();
         let mut time = base.mul_f64(jitter) * mode.straggle_factor.max(1);
-        if self.started.elapsed() < self.shape.cold_start {
-            time += self.shape.cold_start;
+        if self.started.elapsed() < self.config.cold_start {
+            time += self.config.cold_start;
         }
         time
     }
 
-    fn load(&self) -> web::Response {
+    fn load_report(&self) -> web::Response {
         self.stats.borrow_mut().probes += 1;
-        let mut reported = self.reported.borrow_mut();
+        let mut last_report = self.load_report.borrow_mut();
         let mode = self.mode.borrow();
-        if reported.0.elapsed() >= self.shape.load_lag {
-            let in_flight = if mode.lie { 0 } else { self.in_flight.get() };
-            *reported = (
+        if last_report.0.elapsed() >= self.config.load_refresh_interval {
+            let in_flight = if mode.report_zero_load { 0 } else { self.in_flight.get() };
+            *last_report = (
                 Instant::now(),
-                Load { in_flight, slots: self.shape.slots as u64, draining: false },
+                LoadReport { in_flight, slots: self.config.slots as u64, draining: false },
             );
         }
-        // Draining is said at once: it is the one signal that must not lag.
-        let load = Load { draining: mode.draining, ..reported.1.clone() };
-        encode(&load)
+        // Draining is always current: it is the one signal that must not lag.
+        let report = LoadReport { draining: mode.draining, ..last_report.1.clone() };
+        encode(&report)
     }
 }
 
 impl web::Handler for Upstream {
     fn max_connections(&self) -> usize {
-        self.shape.connections
+        self.config.max_connections
     }
 
     async fn handle(&self, request: web::Request, _peer: std::net::SocketAddr) -> web::Response {
-        let mut response = self.answer(&request).await;
-        self.state(&mut response);
+        let mut response = self.route(&request).await;
+        self.add_signal_headers(&mut response);
         response
     }
 }
 
 impl Upstream {
-    /// Adds what every answer states about this upstream.
-    fn state(&self, response: &mut web::Response) {
+    /// Adds the backpressure headers that the mode asks for.
+    fn add_signal_headers(&self, response: &mut web::Response) {
         let mode = self.mode.borrow();
         if let (false, Ok(limit)) =
             (mode.limit.is_empty(), http::HeaderValue::from_str(&mode.limit))
@@ -274,16 +285,17 @@
             response.headers_mut().insert(LIMIT, limit);
         }
         if mode.leaving {
-            let flag = http::HeaderValue::from_static("1");
-            response.headers_mut().insert(LEAVING, flag);
+            let value = http::HeaderValue::from_static("1");
+            response.headers_mut().insert(LEAVING, value);
         }
     }
 
-    async fn answer(&self, request: &web::Request) -> web::Response {
+    async fn route(&self, request: &web::Request) -> web::Response {
         match (request.method(), request.uri().path()) {
-            (&http::Method::GET, "/load") => self.load(),
+            (&http::Method::GET, "/load") => self.load_report(),
             (&http::Method::GET, "/admin/stats") => {
-                let stats = Stats { slots: self.shape.slots as u64, ..self.stats.borrow().clone() };
+                let stats =
+                    Stats { slots: self.config.slots as u64, ..self.stats.borrow().clone() };
                 encode(&stats)
             }
             (&http::Method::GET, "/admin/executions") => encode(&*self.executions.borrow()),
@@ -294,34 +306,35 @@
                 }
                 Err(err) => web::reply(StatusCode::BAD_REQUEST, format!("bad mode: {err}\n")),
             },
-            _ => self.work(request).await,
+            _ => self.run_request(request).await,
         }
     }
 }
 
-/// Counts one while it lives.
-struct Counted<'a>(&'a Cell<u64>);
+/// Increments a counter, and decrements it when dropped.
+struct CountGuard<'a>(&'a Cell<u64>);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     fn new(cell: &'a Cell<u64>) -> Self {
         cell.set(cell.get() + 1);
-        Counted(cell)
+        CountGuard(cell)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Reads how long the caller waits.
-fn patience(request: &web::Request) -> Option<Duration> {
+/// Returns how long the caller waits, from the [`TIMEOUT_MS`] header.
+fn caller_timeout(request: &web::Request) -> Option<Duration> {
     let text = request.headers().get(TIMEOUT_MS)?.to_str().ok()?;
     text.parse().ok().map(Duration::from_millis)
 }
 
-/// Answers that the request was not run, and for how many seconds none is wanted from this caller.
+/// Returns a 503 response for a request that was not run. `retry_after` is how many seconds the
+/// caller is to wait before its next request.
 fn shed(reason: &str, retry_after: &str) -> web::Response {
     let mut response = web::reply(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n"));
     if let Ok(retry_after) = http::HeaderValue::from_str(retry_after) {
@@ -331,5 +344,5 @@
 }
 
 fn encode<T: Serialize>(value: &T) -> web::Response {
-    web::json(StatusCode::OK, serde_json::to_vec(value).expect("encodes"))
+    web::json(StatusCode::OK, serde_json::to_vec(value).expect("value serializes as JSON"))
 }
--- a/crates/oatcove/src/apply/tests.rs
+++ b/crates/oatcove/src/apply/tests.rs
@@ -16,10 +16,10 @@
 const V2: &str = "service: swap-desk\ndefaults:\n  timeout_ms: 400\n";
 
 /// Starts a platform stand-in on a free loopback port.
-fn start_platform() -> (Rc<emu::table::Table>, store::Store) {
+fn start_platform() -> (Rc<emu::platform::Platform>, store::Store) {
     let listener = monoio::net::TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("addr");
-    let table = Rc::new(emu::table::Table::default());
+    let table = Rc::new(emu::platform::Platform::default());
     monoio::spawn(web::serve(listener, table.clone()));
     (table, store::Store::new(addr))
 }
@@ -32,7 +32,7 @@
 fn lost_ack_is_resolved_by_reading_back_the_change_id() {
     web::runtime().block_on(async {
         let (table, store) = start_platform();
-        table.set(proto::Faults { lose_acks: 1, ..Default::default() });
+        table.set_faults(proto::Faults { lose_acks: 1, ..Default::default() });
         let applied = apply(&store, V1, "ana").await.expect("applied");
         let Applied::Written { version, change_id } = applied else {
             panic!("not written: {applied:?}")
@@ -56,7 +56,7 @@
         let (table, store) = start_platform();
         let faults =
             proto::Faults { delay_ms: 40, late_commits: 1, late_ms: 65, ..Default::default() };
-        table.set(faults);
+        table.set_faults(faults);
         let patience =
             crate::apply::Patience { tries: 5, first_backoff: std::time::Duration::from_millis(5) };
         let applied = crate::apply::apply(&store, V1, "ana", patience).await.expect("applied");
@@ -99,7 +99,7 @@
 fn outage_reports_nothing_written() {
     web::runtime().block_on(async {
         let (table, store) = start_platform();
-        table.set(proto::Faults { outage: true, ..Default::default() });
+        table.set_faults(proto::Faults { outage: true, ..Default::default() });
         let result = apply(&store, V1, "ana").await;
         assert!(matches!(result, Err(ApplyError::Unavailable(_))), "{result:?}");
         assert!(table.rows(store::TEMPLATES).is_empty());
@@ -133,7 +133,7 @@
         let evacuate = async |lift| apply::evacuate(&store, "attiki-b", lift, "ana", QUICK).await;
         assert!(matches!(evacuate(true).await, Ok(Applied::Unchanged { version: 0 })));
         assert!(matches!(evacuate(false).await, Ok(Applied::Written { .. })));
-        table.set(proto::Faults { lose_acks: 1, ..Default::default() });
+        table.set_faults(proto::Faults { lose_acks: 1, ..Default::default() });
         assert!(matches!(evacuate(false).await, Ok(Applied::Unchanged { .. })));
         assert!(matches!(evacuate(true).await, Ok(Applied::Written { .. })));
         assert_eq!(table.rows(store::DRAINS)[0].value, r#"{"lifted":true}"#);
--- a/crates/oatcoved/src/follow/history_tests.rs
+++ b/crates/oatcoved/src/follow/history_tests.rs
@@ -173,7 +173,7 @@
 }
 
 async fn play(steps: Vec<FaultStep>) -> Result<(), String> {
-    let table = Rc::new(emu::table::Table::default());
+    let table = Rc::new(emu::platform::Platform::default());
     let listener = monoio::net::TcpListener::bind("127.0.0.1:0").expect("bind");
     let platform = listener.local_addr().expect("address");
     monoio::spawn(web::serve(listener, table.clone()));
@@ -192,9 +192,9 @@
         (0..OPERATORS).map(|i| monoio::spawn(operate(i, platform, history.clone()))).collect();
     for step in steps {
         monoio::time::sleep(Duration::from_millis(step.after_ms)).await;
-        table.set(step.faults);
+        table.set_faults(step.faults);
     }
-    table.set(proto::Faults::default());
+    table.set_faults(proto::Faults::default());
     for operator in operators {
         operator.await;
     }
--- a/crates/oatcoved/src/proxy/tests.rs
+++ b/crates/oatcoved/src/proxy/tests.rs
@@ -4,26 +4,26 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use emu::upstream::{Shape, Upstream};
+use emu::upstream::{Upstream, UpstreamConfig};
 use store::proto;
 use web::Handler;
 
 use crate::proxy::Node;
 
-fn shape(light_ms: u64, queue_limit: usize) -> Shape {
-    Shape {
+fn shape(light_ms: u64, queue_limit: usize) -> UpstreamConfig {
+    UpstreamConfig {
         slots: 4,
-        connections: 1_000,
+        max_connections: 1_000,
         queue_limit,
-        light: Duration::from_millis(light_ms),
-        heavy: Duration::from_millis(light_ms),
+        light_service_time: Duration::from_millis(light_ms),
+        heavy_service_time: Duration::from_millis(light_ms),
         cold_start: Duration::ZERO,
-        load_lag: Duration::ZERO,
+        load_refresh_interval: Duration::ZERO,
     }
 }
 
 /// Starts an upstream stand-in on a free loopback port.
-fn upstream(shape: Shape) -> (SocketAddr, Rc<Upstream>) {
+fn upstream(shape: UpstreamConfig) -> (SocketAddr, Rc<Upstream>) {
     let listener = monoio::net::TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("addr");
     let upstream = Rc::new(Upstream::new(shape));
@@ -168,7 +168,7 @@
     const MOST: usize = 2;
     web::runtime().block_on(async {
         let ((a, resting), (b, _)) = (upstream(shape(5, 100)), upstream(shape(5, 100)));
-        resting.set_mode(emu::upstream::Mode { rest: "2".into(), ..Default::default() });
+        resting.set_mode(emu::upstream::Mode { retry_after: "2".into(), ..Default::default() });
         let nodes = nodes(1, "service: svc\n", &[a, b]);
         let served = call_all(&nodes, method, Instant::now() + Duration::from_millis(3_500)).await;
         let first = resting.arrivals()[0];
@@ -186,8 +186,8 @@
 fn callers_are_told_at_once_when_the_first_upstream_has_rested() {
     web::runtime().block_on(async {
         let ((a, one), (b, other)) = (upstream(shape(5, 100)), upstream(shape(5, 100)));
-        one.set_mode(emu::upstream::Mode { rest: "3".into(), ..Default::default() });
-        other.set_mode(emu::upstream::Mode { rest: "1".into(), ..Default::default() });
+        one.set_mode(emu::upstream::Mode { retry_after: "3".into(), ..Default::default() });
+        other.set_mode(emu::upstream::Mode { retry_after: "1".into(), ..Default::default() });
         let nodes = nodes(1, "service: svc\n", &[a, b]);
         call_all(&nodes, http::Method::GET, Instant::now() + Duration::from_millis(100)).await;
         let asked_at = Instant::now();
@@ -658,7 +658,7 @@
 #[test]
 fn a_node_keeps_to_its_share_of_connections() {
     web::runtime().block_on(async {
-        let (a, up) = upstream(Shape { connections: 4, ..shape(20, 100) });
+        let (a, up) = upstream(UpstreamConfig { max_connections: 4, ..shape(20, 100) });
         let template = "service: svc\ndefaults:\n  connections_per_upstream: 4\n";
         let node = Rc::new(node(template, &[a]));
         let claims: Vec<_> = (0..12)
