--- a/crates/load/src/claims.rs
+++ b/crates/load/src/claims.rs
@@ -1,70 +1,72 @@
-//! Checks what callers were told of their claims against what upstreams executed.
+//! Checks the outcomes that callers saw of their claims against the executions on upstreams.
 //!
-//! A history check: the run records each claim's outcome as its caller saw
-//! it, and the stand-ins count executions by idempotency key. The oracle is
-//! the promise itself: `done` ran once, `not-run` never ran, and nothing ran twice.
+//! A claim is a call that must run at most once. The run records the outcome
+//! of each claim as its caller saw it, and the upstream stand-ins count
+//! executions by idempotency key. The check: a `done` claim ran exactly once, a
+//! `not-run` claim did not run, and no claim ran twice.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What a caller was told of its claim.
+/// Outcome of a claim as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// It took effect.
+pub enum ClaimOutcome {
+    /// The claim ran.
     Done,
-    /// It was not run.
+    /// The claim did not run.
     NotRun,
-    /// It may have run.
+    /// The claim may have run.
     Unknown,
 }
 
-/// Claims of a run and the promises broken on them.
+/// Counts of the claims of a run by outcome, and the keys of those whose outcome was wrong.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClaimsReport {
     /// Claims sent.
     pub sent: u64,
-    /// Claims whose callers were told `done`.
+    /// Claims with the outcome `done`.
     pub done: u64,
-    /// Claims whose callers were told `not-run`.
+    /// Claims with the outcome `not-run`.
     pub not_run: u64,
-    /// Claims whose callers were told, or had to assume, that they may have run.
+    /// Claims that may have run, by the response or for want of one.
     pub unknown: u64,
-    /// Claims executed more than once.
+    /// Keys of claims executed more than once.
     pub ran_twice: Vec<SmolStr>,
-    /// Claims told `not-run` that were executed.
+    /// Keys of `not-run` claims that were executed.
     pub ran_though_told_not: Vec<SmolStr>,
-    /// Claims told `done` that no upstream executed.
+    /// Keys of `done` claims that no upstream executed.
     pub done_though_never_ran: Vec<SmolStr>,
 }
 
 impl ClaimsReport {
-    /// Returns true when no promise was broken.
-    pub fn holds(&self) -> bool {
+    /// Returns whether all outcomes agree with the executions.
+    pub fn is_consistent(&self) -> bool {
         self.ran_twice.is_empty()
             && self.ran_though_told_not.is_empty()
             && self.done_though_never_ran.is_empty()
     }
 }
 
-/// Checks `claims` against `executions` by idempotency key.
+/// Checks `claims`, the outcomes by idempotency key, against `executions`, the number of
+/// executions by idempotency key on all upstreams. A key without a number was not executed.
 pub fn check_claims(
-    claims: &BTreeMap<SmolStr, Told>,
+    claims: &BTreeMap<SmolStr, ClaimOutcome>,
     executions: &BTreeMap<SmolStr, u64>,
 ) -> ClaimsReport {
     let mut report = ClaimsReport { sent: claims.len() as u64, ..Default::default() };
-    for (key, told) in claims {
-        let ran = executions.get(key).copied().unwrap_or(0);
-        match told {
-            Told::Done => report.done += 1,
-            Told::NotRun => report.not_run += 1,
-            Told::Unknown => report.unknown += 1,
+    for (key, outcome) in claims {
+        let execution_count = executions.get(key).copied().unwrap_or(0);
+        match outcome {
+            ClaimOutcome::Done => report.done += 1,
+            ClaimOutcome::NotRun => report.not_run += 1,
+            ClaimOutcome::Unknown => report.unknown += 1,
         }
-        match (told, ran) {
+        match (outcome, execution_count) {
             (_, 2..) => report.ran_twice.push(key.clone()),
-            (Told::NotRun, 1) => report.ran_though_told_not.push(key.clone()),
-            (Told::Done, 0) => report.done_though_never_ran.push(key.clone()),
+            (ClaimOutcome::NotRun, 1) => report.ran_though_told_not.push(key.clone()),
+            (ClaimOutcome::Done, 0) => report.done_though_never_ran.push(key.clone()),
             _ => {}
         }
     }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,15 +1,16 @@
-//! The load and experiment tool.
+//! Load generator for oatcove entry nodes.
 //!
-//! It acts as callers do: asks an entry node which entries to use, keeps the
-//! answer for its TTL, connects to an entry of its own zone and sends calls.
-//! Arrivals are open-loop at a fixed rate, and each call's latency is counted
-//! from when it was due, not when it was sent, so a stalled system cannot
-//! hide its stall by slowing the load down.
+//! It behaves like a caller: it gets the list of entry nodes from one of them,
+//! caches the list for its TTL, connects to an entry node of its own zone and
+//! sends calls. Arrivals are open-loop at a fixed rate, and the latency of a call
+//! is measured from when it was due, not from when it was sent. A stall of the
+//! system under test therefore shows in the latencies, instead of only slowing
+//! the load down.
 
 mod claims;
 mod report;
 mod run;
 
-pub use claims::{check_claims, ClaimsReport, Told};
+pub use claims::{check_claims, ClaimOutcome, ClaimsReport};
 pub use report::{ClassReport, Report};
 pub use run::{run, Plan};
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `oatcove-load`: drives calls through entry nodes and prints tail latency and probe cost.
+//! `oatcove-load`: sends calls through entry nodes and prints tail latency and probe cost.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,16 +10,16 @@
 #[derive(Bpaf, Debug)]
 #[bpaf(options, version)]
 struct Args {
-    /// Any entry node, asked for the entry list
+    /// Entry node to read the list of entry nodes from
     #[bpaf(long("entry"), argument("ADDR"))]
     entry: SocketAddr,
     /// Service to call
     #[bpaf(long("service"), argument("NAME"))]
     service: String,
-    /// Zone of the callers (repeatable; calls come from each in turn)
+    /// Zone of the callers (repeatable; calls rotate through the zones)
     #[bpaf(long("zone"), argument("ZONE"), some("at least one --zone is needed"))]
     zones: Vec<String>,
-    /// Team named on each call
+    /// Team sent with each call
     #[bpaf(long("team"), argument("NAME"), optional)]
     team: Option<String>,
     /// Calls per second
@@ -31,19 +31,19 @@
     /// Share of heavy calls, in percent
     #[bpaf(long("heavy-percent"), argument("P"), fallback(10))]
     heavy_percent: u32,
-    /// Share of calls that are claims (POST), in percent
+    /// Share of calls that are claims (POST, run at most once), in percent
     #[bpaf(long("claim-percent"), argument("P"), fallback(0))]
     claim_percent: u32,
-    /// Upstream stand-in whose counters are read (repeatable)
+    /// Upstream stand-in to read counters from (repeatable)
     #[bpaf(long("upstream"), argument("ADDR"), many)]
     upstreams: Vec<SocketAddr>,
-    /// Cost of one probe on an upstream, in ms of one slot
+    /// Cost of one probe, in ms of one slot of an upstream
     #[bpaf(long("probe-cost-ms"), argument("MS"), fallback(5.0))]
     probe_cost_ms: f64,
-    /// Call --entry directly, without discovery (baseline against an upstream)
+    /// Send all calls to --entry, without discovery (with an upstream there: a baseline)
     #[bpaf(long("direct"), switch)]
     direct: bool,
-    /// Also write the report as JSON here
+    /// File to write the report to as JSON
     #[bpaf(long("json"), argument("FILE"), optional)]
     json: Option<PathBuf>,
 }
@@ -65,9 +65,9 @@
     };
     let mut runtime = web::runtime();
     let report = runtime.block_on(load::run(plan));
-    print!("{}", report.lines());
+    print!("{}", report.render());
     if let Some(path) = args.json {
-        let text = serde_json::to_string_pretty(&report).expect("report encodes");
+        let text = serde_json::to_string_pretty(&report).expect("report serializes as JSON");
         if let Err(err) = std::fs::write(&path, text) {
             eprintln!("error: {}: {err}", path.display());
             std::process::exit(1);
