--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Members`] is a SWIM-style failure detector: each period it pings one
 //! peer; a peer that does not answer is asked for through others, then
 //! suspected, then declared dead unless it refutes with a higher incarnation.
-//! News of members, [`wire::Note`]s, [`Finding`]s and [`Notice`]s ride on these packets, each sent a
+//! News of members, [`wire::HealthReport`]s, [`Finding`]s and [`Notice`]s ride on these packets, each sent a
 //! few times ([`queue`]), so the cost per node does not grow with the fleet. Findings are also told to
 //! a few peers at once, and to a peer whose digest differs: one that was cut off has missed them.
 //!
@@ -28,7 +28,7 @@
 use rand::seq::{IteratorRandom, SliceRandom};
 use rand::Rng;
 use smol_str::SmolStr;
-use wire::{Body, Incarnation, MemberUpdate, Note, Packet, PingSeq, Sender, Standing};
+use wire::{Body, HealthReport, Incarnation, MemberUpdate, Packet, PingSeq, Sender, Standing};
 
 use crate::notes::Notes;
 use crate::queue::Queue;
@@ -121,7 +121,7 @@
         list_head: u64,
     },
     /// Another node's note on an upstream is new, changed or lapsed (then `Healthy`).
-    Note(Note),
+    Note(HealthReport),
     /// Another node knows this of a request that crashed upstreams.
     Finding(Finding),
     /// Another node tells what an upstream states about itself.
@@ -255,7 +255,7 @@
         };
         let peers = self.peers.iter().filter(|(_, peer)| behind(peer)).map(|(addr, _)| *addr);
         let told = peers.choose_multiple(&mut self.rng, TOLD_OF_HEADS);
-        told.into_iter().map(|to| self.pack(to, Body::News)).collect()
+        told.into_iter().map(|to| self.pack(to, Body::Gossip)).collect()
     }
 
     /// Spreads what this node learned by watching an upstream.
@@ -324,7 +324,7 @@
         for update in &packet.members {
             self.hear(update, now);
         }
-        for note in &packet.notes {
+        for note in &packet.health_reports {
             if note.watcher != self.me.addr && self.notes.hear(*note, now) {
                 self.queue.push_note(*note);
                 self.events.push(Event::Note(*note));
@@ -346,7 +346,7 @@
                 self.relays.push(Relay { my_seq, requester: from, their_seq });
                 out.push(self.pack(target, Body::Ping(my_seq)));
             }
-            Body::Ping(_) | Body::PingReq(..) | Body::News => {}
+            Body::Ping(_) | Body::PingReq(..) | Body::Gossip => {}
         }
         out
     }
@@ -630,8 +630,8 @@
             .map(|(addr, p)| member_update(*addr, p))
             .collect();
         let bad_news = self.notes.bad();
-        for (members, notes) in queue::split(&self.me, members, bad_news) {
-            let packet = Packet { members, notes, ..self.news() };
+        for (members, health_reports) in queue::split(&self.me, members, bad_news) {
+            let packet = Packet { members, health_reports, ..self.news() };
             out.push(Outgoing { to, packet });
         }
     }
@@ -646,9 +646,9 @@
     fn news(&self) -> Packet {
         Packet {
             sender: self.me.clone(),
-            body: Body::News,
+            body: Body::Gossip,
             members: Vec::new(),
-            notes: Vec::new(),
+            health_reports: Vec::new(),
             findings: Vec::new(),
             notices: Vec::new(),
         }
--- a/crates/member/src/notes.rs
+++ b/crates/member/src/notes.rs
@@ -8,14 +8,14 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use wire::{Note, Verdict};
+use wire::{HealthReport, Verdict};
 
 /// A note is repeated this many times within its time to live.
 const REPEATS_PER_TTL: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Held {
-    note: Note,
+    note: HealthReport,
     /// When it was heard, or for an own note last sent.
     at: Instant,
 }
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Due {
     /// An own note to be sent again.
-    Repeat(Note),
+    Repeat(HealthReport),
     /// Another's bad note was not repeated in time; given with verdict `Healthy`.
-    Lapsed(Note),
+    Lapsed(HealthReport),
 }
 
 /// Notes by upstream and watcher.
@@ -48,15 +48,15 @@
         verdict: Verdict,
         unix_ms: u64,
         now: Instant,
-    ) -> Note {
+    ) -> HealthReport {
         let last = self.held.get(&(upstream, me)).map_or(0, |held| held.note.seq);
-        let note = Note { upstream, watcher: me, seq: unix_ms.max(last + 1), verdict };
+        let note = HealthReport { upstream, watcher: me, seq: unix_ms.max(last + 1), verdict };
         self.held.insert((upstream, me), Held { note, at: now });
         note
     }
 
     /// Takes another node's note; returns true when it is news.
-    pub(crate) fn hear(&mut self, note: Note, now: Instant) -> bool {
+    pub(crate) fn hear(&mut self, note: HealthReport, now: Instant) -> bool {
         let key = (note.upstream, note.watcher);
         match self.held.get(&key) {
             Some(held) if note.seq <= held.note.seq => false,
@@ -68,7 +68,7 @@
     }
 
     /// Returns the notes that are bad news.
-    pub(crate) fn bad(&self) -> Vec<Note> {
+    pub(crate) fn bad(&self) -> Vec<HealthReport> {
         let notes = self.held.values().map(|held| held.note);
         notes.filter(|note| note.verdict != Verdict::Healthy).collect()
     }
@@ -87,7 +87,7 @@
                     true
                 }
                 false if bad && age >= ttl => {
-                    due.push(Due::Lapsed(Note { verdict: Verdict::Healthy, ..held.note }));
+                    due.push(Due::Lapsed(HealthReport { verdict: Verdict::Healthy, ..held.note }));
                     false
                 }
                 // Good news is kept as long as an older bad note could still be on its way.
--- a/crates/member/src/queue.rs
+++ b/crates/member/src/queue.rs
@@ -10,7 +10,7 @@
 
 use notice::Notice;
 use quarantine::Finding;
-use wire::{MemberUpdate, Note, Packet, Sender, MAX_PACKET_BYTES};
+use wire::{HealthReport, MemberUpdate, Packet, Sender, MAX_PACKET_BYTES};
 
 /// An item is sent this often beyond the logarithm (to base two) of the fleet's size.
 ///
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct Queue {
     members: Vec<Item<MemberUpdate>>,
-    notes: Vec<Item<Note>>,
+    notes: Vec<Item<HealthReport>>,
     findings: Vec<Item<Finding>>,
     notices: Vec<Item<Notice>>,
 }
@@ -59,8 +59,8 @@
     }
 
     /// Queues a note in place of the same watcher's older note on the upstream.
-    pub(crate) fn push_note(&mut self, note: Note) {
-        let subject = |n: &Note| -> (SocketAddr, SocketAddr) { (n.upstream, n.watcher) };
+    pub(crate) fn push_note(&mut self, note: HealthReport) {
+        let subject = |n: &HealthReport| -> (SocketAddr, SocketAddr) { (n.upstream, n.watcher) };
         self.notes.retain(|item| subject(&item.value) != subject(&note));
         let bytes = wire::encoded_bytes(&note);
         self.notes.push(Item { value: note, sent: 0, bytes });
@@ -77,7 +77,7 @@
         packet.findings = take(&mut self.findings, &mut left, repeats);
         packet.notices = take(&mut self.notices, &mut left, repeats);
         packet.members = take(&mut self.members, &mut left, repeats);
-        packet.notes = take(&mut self.notes, &mut left, repeats);
+        packet.health_reports = take(&mut self.notes, &mut left, repeats);
     }
 }
 
@@ -118,12 +118,12 @@
 pub(crate) fn split(
     sender: &Sender,
     members: Vec<MemberUpdate>,
-    notes: Vec<Note>,
-) -> Vec<(Vec<MemberUpdate>, Vec<Note>)> {
+    notes: Vec<HealthReport>,
+) -> Vec<(Vec<MemberUpdate>, Vec<HealthReport>)> {
     let room = MAX_PACKET_BYTES.saturating_sub(wire::encoded_bytes(sender) + 32);
     let mut parts = vec![(Vec::new(), Vec::new())];
     let mut left = room;
-    let mut make_room = |bytes: usize, parts: &mut Vec<(Vec<MemberUpdate>, Vec<Note>)>| {
+    let mut make_room = |bytes: usize, parts: &mut Vec<(Vec<MemberUpdate>, Vec<HealthReport>)>| {
         if bytes > left {
             parts.push((Vec::new(), Vec::new()));
             left = room;
--- a/crates/member/src/tests.rs
+++ b/crates/member/src/tests.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use smol_str::SmolStr;
-use wire::{Note, Packet, Standing, Verdict, MAX_PACKET_BYTES};
+use wire::{HealthReport, Packet, Standing, Verdict, MAX_PACKET_BYTES};
 
 use crate::{Event, Members, Outgoing, Timing};
 
@@ -224,7 +224,7 @@
     fn bad_notes_heard(&self, at: usize) -> BTreeSet<(SocketAddr, Verdict)> {
         let mut held = BTreeSet::new();
         for event in &self.nodes[at].heard {
-            if let Event::Note(Note { upstream, verdict, .. }) = event {
+            if let Event::Note(HealthReport { upstream, verdict, .. }) = event {
                 held.retain(|(u, _)| u != upstream);
                 if *verdict != Verdict::Healthy {
                     held.insert((*upstream, *verdict));
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,11 +1,10 @@
-//! Datagrams between entry nodes.
+//! Datagrams exchanged between entry nodes.
 //!
-//! A [`Packet`] is one UDP datagram: who sent it, what it asks or answers
-//! ([`Body`]), and what rides along: [`MemberUpdate`]s of the membership
-//! protocol, [`Note`]s, what a node learned by watching an upstream, [`Finding`]s, what it knows
-//! of requests that crash upstreams, and [`Notice`]s, what upstreams state about themselves. It is
-//! encoded with postcard and never longer than [`MAX_PACKET_BYTES`], so it
-//! crosses any link without fragmentation.
+//! A [`Packet`] is one UDP datagram. It holds a description of its sender, a request or reply
+//! ([`Body`]), and piggybacked updates: [`MemberUpdate`]s of the membership protocol,
+//! [`HealthReport`]s from probing upstreams, [`Finding`]s about requests that crash upstreams, and
+//! [`Notice`]s that upstreams state about themselves. Packets are encoded with postcard and are
+//! never longer than [`MAX_PACKET_BYTES`], so that no link has to fragment them.
 
 mod update;
 
@@ -17,102 +16,108 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-pub use update::{MemberUpdate, Note, Standing, Verdict};
+pub use update::{HealthReport, MemberUpdate, Standing, Verdict};
 
-/// Longest datagram sent, in bytes: below the IPv6 minimum MTU less headers.
+/// Maximum size of a datagram, in bytes: below the IPv6 minimum MTU (1280 bytes) less headers.
 pub const MAX_PACKET_BYTES: usize = 1_200;
 
-/// First byte of every packet; another value is a different protocol version.
+/// Protocol version, the first byte of every packet. Packets of other versions are rejected.
 const PROTOCOL_VERSION: u8 = 5;
 
-/// Longest zone name accepted from a peer, in bytes.
+/// Maximum length of a zone name in a received packet, in bytes.
 pub const MAX_ZONE_BYTES: usize = 63;
 
-/// Number of a node's life, raised by the node itself to refute news of its death.
+/// Incarnation number of a node.
+///
+/// Only the node itself raises it: when it restarts, and to refute updates that call it suspect or
+/// dead.
 pub type Incarnation = u64;
 
-/// Number of a ping, echoed by its acknowledgement.
+/// Sequence number of a ping, echoed by its acknowledgement.
 pub type PingSeq = u32;
 
 quick_error! {
-    /// Why a datagram could not be read.
+    /// Error returned when a datagram cannot be decoded.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum DecodeError {
-        /// The bytes are not a packet of this protocol.
+        /// The bytes are not a valid packet.
         Malformed(message: String) {
             display("malformed packet: {}", message)
         }
-        /// The sender speaks another version of the protocol.
+        /// The packet has another protocol version.
         Version(version: u8) {
             display("protocol version {} is not {}", version, PROTOCOL_VERSION)
         }
     }
 }
 
-/// What a packet asks or answers.
+/// Request or reply in a packet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks the receiver for an [`Body::Ack`] with the same number.
+    /// Asks the receiver for a [`Body::Ack`] with the same sequence number.
     Ping(PingSeq),
-    /// Answers a ping.
+    /// Acknowledges the ping with this sequence number.
     Ack(PingSeq),
-    /// Asks the receiver to ping a third node and pass its answer back.
+    /// Asks the receiver to ping the node at this address and to forward its acknowledgement under
+    /// this sequence number.
     PingReq(PingSeq, SocketAddr),
-    /// Asks nothing: only what rides along matters.
-    News,
+    /// Needs no reply: the packet only carries piggybacked updates.
+    #[serde(rename = "News")]
+    Gossip,
 }
 
-/// The sender, as it describes itself.
+/// Description of the sender, by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Address of the sender, where callers also connect to it.
+    /// Address of the sender. Callers connect to the same address.
     pub addr: SocketAddr,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone of the sender.
     pub zone: SmolStr,
-    /// Highest commit of the config it holds.
+    /// Highest commit of the config that the sender has.
     pub config_head: u64,
-    /// Highest commit of the list of upstreams it holds; 0 when it does not tell.
+    /// Highest commit of the list of upstreams that the sender has; 0 when it does not report one.
     pub list_head: u64,
-    /// Digest of the requests that it holds back; 0 when there are none.
+    /// Digest of the requests that the sender quarantines; 0 when there are none.
     pub held_digest: u64,
 }
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Who sent it.
+    /// Sender of the packet.
     pub sender: Sender,
-    /// What it asks or answers.
+    /// Request or reply.
     pub body: Body,
-    /// Membership updates riding along.
+    /// Piggybacked membership updates.
     pub members: Vec<MemberUpdate>,
-    /// Watch notes riding along.
-    pub notes: Vec<Note>,
-    /// Findings riding along.
+    /// Piggybacked health reports on upstreams.
+    #[serde(rename = "notes")]
+    pub health_reports: Vec<HealthReport>,
+    /// Piggybacked findings about requests that crash upstreams.
     pub findings: Vec<Finding>,
-    /// Notices riding along.
+    /// Piggybacked notices from upstreams.
     pub notices: Vec<Notice>,
 }
 
 impl Packet {
-    /// Encodes the packet.
+    /// Encodes the packet as a datagram. Does not enforce [`MAX_PACKET_BYTES`].
     ///
     /// # Panics
     ///
-    /// Panics when memory for the encoding cannot be had.
+    /// Panics when memory for the encoding cannot be allocated.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_extend(self, vec![PROTOCOL_VERSION]).expect("packets encode")
+        postcard::to_extend(self, vec![PROTOCOL_VERSION]).expect("failed to encode a packet")
     }
 
     /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] when the bytes are not a whole packet of this protocol
-    /// version, a zone name is longer than [`MAX_ZONE_BYTES`], or a finding is one that no node can
-    /// have made.
+    /// Returns a [`DecodeError`] when the bytes are not exactly one packet of this protocol
+    /// version, when a zone name is longer than [`MAX_ZONE_BYTES`], or when a finding is invalid:
+    /// one that no node can have produced.
     pub fn decode(bytes: &[u8]) -> Result<Packet, DecodeError> {
         let malformed = |message: &str| DecodeError::Malformed(message.to_owned());
         let packet: Packet = match bytes.split_first() {
@@ -124,9 +129,9 @@
             Some((&version, _)) => return Err(DecodeError::Version(version)),
             None => return Err(malformed("empty datagram")),
         };
-        let fits = |zone: &SmolStr| zone.len() <= MAX_ZONE_BYTES;
-        let zones_fit =
-            fits(&packet.sender.zone) && packet.members.iter().all(|member| fits(&member.zone));
+        let zone_fits = |zone: &SmolStr| zone.len() <= MAX_ZONE_BYTES;
+        let zones_fit = zone_fits(&packet.sender.zone)
+            && packet.members.iter().all(|member| zone_fits(&member.zone));
         match () {
             () if !zones_fit => Err(malformed("zone name too long")),
             () if !packet.findings.iter().all(Finding::is_sound) => {
@@ -138,6 +143,8 @@
 }
 
 /// Returns the encoded length of `item`, in bytes.
+///
+/// An item that cannot be encoded counts as [`MAX_PACKET_BYTES`].
 pub fn encoded_bytes<T: Serialize>(item: &T) -> usize {
     postcard::experimental::serialized_size(item).unwrap_or(MAX_PACKET_BYTES)
 }
--- a/crates/wire/src/tests.rs
+++ b/crates/wire/src/tests.rs
@@ -3,7 +3,8 @@
 use proptest::prelude::*;
 
 use crate::{
-    Body, DecodeError, MemberUpdate, Note, Packet, Sender, Standing, Verdict, PROTOCOL_VERSION,
+    Body, DecodeError, HealthReport, MemberUpdate, Packet, Sender, Standing, Verdict,
+    PROTOCOL_VERSION,
 };
 
 fn addr(port: u16) -> SocketAddr {
@@ -27,7 +28,7 @@
             standing: Standing::Suspect,
             zone: "attiki-b".into(),
         }],
-        notes: vec![Note {
+        health_reports: vec![HealthReport {
             upstream: addr(4),
             watcher: addr(1),
             seq: 12,
@@ -47,47 +48,50 @@
 }
 
 fn finding() -> quarantine::Finding {
-    let mut ledger = quarantine::Ledger::default();
+    let mut quarantine = quarantine::Ledger::default();
     let content = quarantine::Content::of([b"GET /a".as_slice()]);
     for n in 1..=3 {
-        let known = ledger.known(content);
-        ledger.crashed(content, known, quarantine::Start::of("u", n), 1_000);
+        let known = quarantine.known(content);
+        quarantine.crashed(content, known, quarantine::Start::of("u", n), 1_000);
     }
-    ledger.take_news(1_000).pop().expect("it was found").finding
+    quarantine.take_news(1_000).pop().expect("three crashes produce a finding").finding
 }
 
 #[test]
-fn a_packet_survives_the_wire() {
+fn encoded_packet_decodes_to_itself() {
     assert_eq!(Packet::decode(&packet().encode()), Ok(packet()));
 }
 
-/// Symptom: a node acts on half a packet, or panics on a stray datagram.
-/// Sequence: a datagram arrives cut short, with bytes added, of another
-/// protocol version, or with an enum value this build does not know.
-/// Cause: decoding what can be decoded and ignoring the rest.
+/// Guards against a decoder that accepts the readable part of a packet and ignores the rest, or
+/// that panics: datagrams may be truncated, have trailing bytes, be of another protocol version, or
+/// contain an enum value that this build does not know.
 #[test]
-fn damaged_packets_are_refused_whole() {
-    let whole = packet().encode();
-    for length in 0..whole.len() {
-        assert!(Packet::decode(&whole[..length]).is_err(), "accepted {length} bytes");
+fn damaged_packets_are_rejected() {
+    let encoded = packet().encode();
+    for length in 0..encoded.len() {
+        assert!(
+            Packet::decode(&encoded[..length]).is_err(),
+            "accepted a packet cut to {length} bytes"
+        );
     }
-    let mut longer = whole.clone();
-    longer.push(0);
-    assert!(matches!(Packet::decode(&longer), Err(DecodeError::Malformed(_))));
-    let mut other_version = whole.clone();
+    let mut with_trailing_byte = encoded.clone();
+    with_trailing_byte.push(0);
+    assert!(matches!(Packet::decode(&with_trailing_byte), Err(DecodeError::Malformed(_))));
+    let mut other_version = encoded.clone();
     for version in [PROTOCOL_VERSION - 1, PROTOCOL_VERSION + 1] {
         other_version[0] = version;
         assert_eq!(Packet::decode(&other_version), Err(DecodeError::Version(version)));
     }
-    // The verdict of the last note stands before the numbers of findings and notices.
-    let without = Packet { findings: Vec::new(), notices: Vec::new(), ..packet() };
-    let mut unknown_verdict = without.encode();
-    let verdict = unknown_verdict.len() - 3;
-    assert_eq!(unknown_verdict[verdict], Verdict::Draining as u8);
-    unknown_verdict[verdict] = 9;
+    // Without findings and notices, the last bytes are the verdict of the last health report and
+    // the lengths of these two empty lists.
+    let without_findings = Packet { findings: Vec::new(), notices: Vec::new(), ..packet() };
+    let mut unknown_verdict = without_findings.encode();
+    let verdict_index = unknown_verdict.len() - 3;
+    assert_eq!(unknown_verdict[verdict_index], Verdict::Draining as u8);
+    unknown_verdict[verdict_index] = 9;
     assert!(matches!(Packet::decode(&unknown_verdict), Err(DecodeError::Malformed(_))));
-    let no_upstream = quarantine::Finding { crashed: Vec::new(), ..finding() };
-    let unsound = Packet { findings: vec![finding(), no_upstream], ..packet() };
+    let without_crashes = quarantine::Finding { crashed: Vec::new(), ..finding() };
+    let unsound = Packet { findings: vec![finding(), without_crashes], ..packet() };
     assert!(matches!(Packet::decode(&unsound.encode()), Err(DecodeError::Malformed(_))));
 }
 
@@ -99,22 +103,21 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: one stray datagram kills an entry node.
-    /// Sequence: any bytes arrive on the membership port.
-    /// Cause: a decoder that panics or allocates what a length field claims.
+    /// Guards against an entry node that a stray datagram takes down, because the decoder panics or
+    /// allocates as much memory as a length field claims.
     #[test]
-    fn any_bytes_decode_or_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_decode_or_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         if let Ok(packet) = Packet::decode(&bytes) {
             prop_assert_eq!(Packet::decode(&packet.encode()), Ok(packet));
         }
     }
 
-    /// As above, for bytes one change away from a real packet.
+    /// The same, for valid packets with one byte changed.
     #[test]
-    fn a_flipped_byte_is_refused_or_read_as_a_packet(at in any::<prop::sample::Index>(), value in any::<u8>()) {
+    fn a_changed_byte_is_rejected_or_decodes(position in any::<prop::sample::Index>(), value in any::<u8>()) {
         let mut bytes = packet().encode();
-        let at = at.index(bytes.len());
-        bytes[at] = value;
+        let position = position.index(bytes.len());
+        bytes[position] = value;
         if let Ok(packet) = Packet::decode(&bytes) {
             prop_assert_eq!(Packet::decode(&packet.encode()), Ok(packet));
         }
--- a/crates/wire/src/update.rs
+++ b/crates/wire/src/update.rs
@@ -1,7 +1,7 @@
-//! The two types that ride on nearly every packet, with visitors by hand.
+//! Membership updates and health reports, with hand-written serde implementations.
 //!
-//! They are the hot types of the protocol: a packet carries dozens of them.
-//! Each is a plain tuple on the wire, with its enum folded into one byte.
+//! These types are on the hot path: nearly every packet carries them, often dozens. On the wire
+//! each is a tuple, with its enum as a single byte.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,55 +13,57 @@
 
 use crate::Incarnation;
 
-/// What is believed of a member. Later ones override earlier ones of the same incarnation.
+/// State of a member as seen by its peers.
+///
+/// Within one incarnation a greater standing overrides a smaller one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Standing {
-    /// Answering.
+    /// Responds to pings.
     Alive = 0,
-    /// Did not answer; dead unless it refutes in time.
+    /// Did not respond; declared dead unless it refutes this in time.
     Suspect = 1,
     /// Declared dead.
     Dead = 2,
-    /// Left by itself: a planned stop.
+    /// Announced its own planned stop.
     Left = 3,
 }
 
-/// What a watcher believes of an upstream.
+/// Health of an upstream as seen by the node that probes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Verdict {
-    /// Answers probes.
+    /// Answers probes successfully.
     Healthy = 0,
-    /// Does not answer probes, or answers with errors.
+    /// Does not answer probes, or answers them with errors.
     Failing = 1,
-    /// Says it is leaving.
+    /// States that it is leaving.
     Draining = 2,
 }
 
-/// News of one member.
+/// Membership update about one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberUpdate {
-    /// Its address.
+    /// Address of the member.
     pub addr: SocketAddr,
-    /// The incarnation this is about.
+    /// Incarnation of the member that the update is about.
     pub incarnation: Incarnation,
-    /// What is believed of it.
+    /// Standing of the member.
     pub standing: Standing,
-    /// Its availability zone; empty when the teller does not know it.
+    /// Availability zone of the member; empty when the sender does not know it.
     pub zone: SmolStr,
 }
 
-/// What one node learned by watching one upstream.
+/// Health of one upstream, reported by one node that probes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Note {
-    /// The upstream watched.
+pub struct HealthReport {
+    /// Address of the upstream.
     pub upstream: SocketAddr,
-    /// The node that watched it.
+    /// Address of the entry node that probes it.
     pub watcher: SocketAddr,
-    /// Number of the note; of two notes of one watcher on one upstream the higher is newer.
+    /// Sequence number: of two reports by one watcher on one upstream, the higher one is newer.
     pub seq: u64,
-    /// What it learned.
+    /// Health of the upstream.
     pub verdict: Verdict,
 }
 
@@ -90,7 +92,7 @@
     }
 }
 
-impl Serialize for Note {
+impl Serialize for HealthReport {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut tuple = serializer.serialize_tuple(4)?;
         tuple.serialize_element(&self.upstream)?;
@@ -101,8 +103,8 @@
     }
 }
 
-/// Reads element `index` of a tuple.
-fn element<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(
+/// Reads the next element of a tuple, at position `index`; its absence is an error.
+fn read_element<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(
     seq: &mut A,
     index: usize,
     expected: &dyn de::Expected,
@@ -120,12 +122,12 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<MemberUpdate, A::Error> {
-        let addr = element(&mut seq, 0, &self)?;
-        let incarnation = element(&mut seq, 1, &self)?;
-        let byte: u8 = element(&mut seq, 2, &self)?;
+        let addr = read_element(&mut seq, 0, &self)?;
+        let incarnation = read_element(&mut seq, 1, &self)?;
+        let byte: u8 = read_element(&mut seq, 2, &self)?;
         let standing = Standing::from_byte(byte)
             .ok_or_else(|| de::Error::custom(format_args!("unknown standing {byte}")))?;
-        let zone = element(&mut seq, 3, &self)?;
+        let zone = read_element(&mut seq, 3, &self)?;
         Ok(MemberUpdate { addr, incarnation, standing, zone })
     }
 }
@@ -136,28 +138,28 @@
     }
 }
 
-struct NoteVisitor;
+struct HealthReportVisitor;
 
-impl<'de> Visitor<'de> for NoteVisitor {
-    type Value = Note;
+impl<'de> Visitor<'de> for HealthReportVisitor {
+    type Value = HealthReport;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a watch note: upstream, watcher, number, verdict")
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Note, A::Error> {
-        let upstream = element(&mut seq, 0, &self)?;
-        let watcher = element(&mut seq, 1, &self)?;
-        let number = element(&mut seq, 2, &self)?;
-        let byte: u8 = element(&mut seq, 3, &self)?;
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<HealthReport, A::Error> {
+        let upstream = read_element(&mut seq, 0, &self)?;
+        let watcher = read_element(&mut seq, 1, &self)?;
+        let report_seq = read_element(&mut seq, 2, &self)?;
+        let byte: u8 = read_element(&mut seq, 3, &self)?;
         let verdict = Verdict::from_byte(byte)
             .ok_or_else(|| de::Error::custom(format_args!("unknown verdict {byte}")))?;
-        Ok(Note { upstream, watcher, seq: number, verdict })
+        Ok(HealthReport { upstream, watcher, seq: report_seq, verdict })
     }
 }
 
-impl<'de> Deserialize<'de> for Note {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Note, D::Error> {
-        deserializer.deserialize_tuple(4, NoteVisitor)
+impl<'de> Deserialize<'de> for HealthReport {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<HealthReport, D::Error> {
+        deserializer.deserialize_tuple(4, HealthReportVisitor)
     }
 }
