--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -65,9 +65,9 @@
             match event {
                 member::Event::Finding(finding) => node.hear_finding(&finding, "a peer"),
                 member::Event::Notice(notice) => node.hear_peer_notice(&notice),
-                member::Event::Differs { addr, held_digest } => {
+                member::Event::DigestMismatch { addr, held_digest } => {
                     let known = node.state.borrow().quarantine.to_tell_a_peer(held_digest);
-                    out.extend(members.tell_all(addr, known, now));
+                    out.extend(members.send_findings(addr, known, now));
                 }
                 event => apply(&node, event),
             }
@@ -95,13 +95,13 @@
     let ledger = &mut node.state.borrow_mut().quarantine;
     let news = ledger.take_news(unix_ms());
     members.set_held_digest(ledger.digest());
-    news.into_iter().flat_map(|news| members.spread(news)).collect()
+    news.into_iter().flat_map(|news| members.broadcast_finding(news)).collect()
 }
 
 /// Tells peers what is news of what upstreams state about themselves.
 fn tell_notices(members: &mut member::Members, node: &Node) -> Vec<member::Outgoing> {
     let (news, now) = (node.state.borrow_mut().notices.take_news(), Instant::now());
-    news.into_iter().flat_map(|news| members.spread_notice(news, now)).collect()
+    news.into_iter().flat_map(|news| members.broadcast_notice(news, now)).collect()
 }
 
 fn handle(members: &mut member::Members, input: Input, now: Instant) -> Vec<member::Outgoing> {
@@ -126,7 +126,7 @@
     let state = &mut *node.state.borrow_mut();
     let peers = &mut state.peers;
     match event {
-        member::Event::Peer { addr, zone, standing } => {
+        member::Event::PeerChanged { addr, zone, standing } => {
             trace::Line::new("peer")
                 .field("peer", addr)
                 .field("zone", zone.as_str())
@@ -143,21 +143,21 @@
             peer.standing = standing;
             state.notices.nodes_changed();
         }
-        member::Event::Forgotten { addr } => {
+        member::Event::PeerRemoved { addr } => {
             peers.remove(&addr);
             state.notices.nodes_changed();
         }
-        member::Event::Heads { addr, config_head, list_head } => {
+        member::Event::PeerHeads { addr, config_head, list_head } => {
             if let Some(peer) = peers.get_mut(&addr) {
                 peer.config_head = config_head;
                 peer.list_head = list_head;
                 peer.heard = true;
             }
         }
-        member::Event::Note(_)
+        member::Event::HealthReport(_)
         | member::Event::Finding(_)
         | member::Event::Notice(_)
-        | member::Event::Differs { .. } => {}
+        | member::Event::DigestMismatch { .. } => {}
     }
 }
 
--- a/crates/member/src/findings.rs
+++ b/crates/member/src/findings.rs
@@ -1,8 +1,8 @@
-//! Findings on requests that crash upstreams, as they travel.
+//! Dissemination of findings about requests that crash upstreams.
 //!
-//! What they say is the business of the crate `quarantine`. Here each is told to a few peers as soon as
-//! it is news, rides on pings like other news, and a peer that holds back other requests than this
-//! node is told all.
+//! The crate `quarantine` interprets findings; this module only distributes them. A new finding is
+//! sent to a few peers immediately and, if it matters to all nodes, piggybacked on pings like other
+//! updates. A peer that quarantines other requests than this node is sent all findings.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,64 +13,75 @@
 
 use crate::{queue, Event, Members, Outgoing};
 
-/// Peers told at once of what is news to this node: each of them does the same. With four, one node in
-/// fifty is told by none, and a fleet of 312 knows after five steps of a few milliseconds.
-const TOLD_AT_ONCE: usize = 4;
+/// Number of peers that are sent an update immediately when it is new to this node.
+///
+/// Each of them does the same. With a fanout of 4, one node in fifty receives no such packet, and
+/// the rest of a fleet of 312 has the update after five hops of a few milliseconds each.
+const IMMEDIATE_FANOUT: usize = 4;
 
-/// A peer whose digest differs is told all findings this often at most: while news is spreading, the
-/// digests of most nodes differ for a moment.
-const TOLD_ALL_EVERY: Duration = Duration::from_millis(700);
+/// Minimum interval between two transfers of all findings to a peer whose digest differs.
+///
+/// While a finding spreads, the digests of most nodes differ for a moment.
+const MIN_FULL_TRANSFER_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Members {
-    /// Tells peers from now on, with each packet, the digest of the requests that this node holds back.
+    /// Sets the digest of the requests that this node quarantines, reported in each later packet.
     pub fn set_held_digest(&mut self, held_digest: u64) {
-        self.me.held_digest = held_digest;
+        self.local.held_digest = held_digest;
     }
 
-    /// Spreads what is known of a request that crashed upstreams: a few peers are told at once, and
-    /// what is of weight rides on pings too.
-    pub fn spread(&mut self, news: News) -> Vec<Outgoing> {
-        if news.is_weighty {
-            self.queue.push_finding(news.finding.clone());
+    /// Broadcasts a finding about a request that crashed upstreams.
+    ///
+    /// Returns packets that send it to a few peers immediately. One that must reach all nodes is
+    /// also queued to be piggybacked on pings.
+    pub fn broadcast_finding(&mut self, new_finding: News) -> Vec<Outgoing> {
+        if new_finding.is_weighty {
+            self.queue.push_finding(new_finding.finding.clone());
         }
-        self.tell_a_few(Packet { findings: vec![news.finding], ..self.news() })
+        self.send_immediately(Packet { findings: vec![new_finding.finding], ..self.bare_packet() })
     }
 
-    /// Sends a packet to a few peers.
-    pub(crate) fn tell_a_few(&mut self, packet: Packet) -> Vec<Outgoing> {
+    /// Addresses a packet to a few reachable peers, chosen at random.
+    pub(crate) fn send_immediately(&mut self, packet: Packet) -> Vec<Outgoing> {
         if self.leaving {
             return Vec::new();
         }
-        let reachable: Vec<SocketAddr> = self.reachable().collect();
-        let told = reachable.into_iter().choose_multiple(&mut self.rng, TOLD_AT_ONCE);
-        told.into_iter().map(|to| Outgoing { to, packet: packet.clone() }).collect()
+        let reachable_peers: Vec<SocketAddr> = self.reachable_peers().collect();
+        let recipients =
+            reachable_peers.into_iter().choose_multiple(&mut self.rng, IMMEDIATE_FANOUT);
+        recipients.into_iter().map(|to| Outgoing { to, packet: packet.clone() }).collect()
     }
 
-    /// Tells a peer all findings.
-    pub fn tell_all(
+    /// Returns packets that send `findings`, all that this node has, to one peer.
+    ///
+    /// For a short while afterwards the peer causes no [`Event::DigestMismatch`].
+    pub fn send_findings(
         &mut self,
         to: SocketAddr,
         findings: Vec<Finding>,
         now: Instant,
     ) -> Vec<Outgoing> {
         if let Some(peer) = self.peers.get_mut(&to) {
-            peer.told_all_at = Some(now);
+            peer.findings_sent_at = Some(now);
         }
-        let parts = queue::split_findings(&self.me, findings);
-        let outgoing = |findings| Outgoing { to, packet: Packet { findings, ..self.news() } };
+        let parts = queue::split_findings(&self.local, findings);
+        let outgoing =
+            |findings| Outgoing { to, packet: Packet { findings, ..self.bare_packet() } };
         parts.into_iter().map(outgoing).collect()
     }
 
-    /// Takes the findings of a packet, and notices that its sender knows something else.
-    pub(crate) fn hear_findings(&mut self, from: &Sender, findings: Vec<Finding>, now: Instant) {
+    /// Emits events for the findings of a packet, and for a sender whose digest differs from this
+    /// node's.
+    pub(crate) fn handle_findings(&mut self, from: &Sender, findings: Vec<Finding>, now: Instant) {
         self.events.extend(findings.into_iter().map(Event::Finding));
-        if from.held_digest != self.me.held_digest && self.may_tell_all(from.addr, now) {
-            self.events.push(Event::Differs { addr: from.addr, held_digest: from.held_digest });
+        if from.held_digest != self.local.held_digest && self.may_send_findings(from.addr, now) {
+            self.events
+                .push(Event::DigestMismatch { addr: from.addr, held_digest: from.held_digest });
         }
     }
 
-    fn may_tell_all(&self, to: SocketAddr, now: Instant) -> bool {
-        let told_at = self.peers.get(&to).and_then(|peer| peer.told_all_at);
-        told_at.is_none_or(|at| now.duration_since(at) >= TOLD_ALL_EVERY)
+    fn may_send_findings(&self, to: SocketAddr, now: Instant) -> bool {
+        let sent_at = self.peers.get(&to).and_then(|peer| peer.findings_sent_at);
+        sent_at.is_none_or(|at| now.duration_since(at) >= MIN_FULL_TRANSFER_INTERVAL)
     }
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,20 +1,20 @@
-//! Membership of entry nodes, and the spreading of what they learn.
+//! Membership of entry nodes, and dissemination of what they learn.
 //!
-//! [`Members`] is a SWIM-style failure detector: each period it pings one
-//! peer; a peer that does not answer is asked for through others, then
-//! suspected, then declared dead unless it refutes with a higher incarnation.
-//! News of members, [`wire::HealthReport`]s, [`Finding`]s and [`Notice`]s ride on these packets, each sent a
-//! few times ([`queue`]), so the cost per node does not grow with the fleet. Findings are also told to
-//! a few peers at once, and to a peer whose digest differs: one that was cut off has missed them.
+//! [`Members`] is a SWIM-style failure detector. Each node pings one peer per interval. A peer that
+//! does not respond is pinged through other peers, then suspected, and then declared dead unless it
+//! refutes this with a higher incarnation. Membership updates, [`wire::HealthReport`]s,
+//! [`Finding`]s and [`Notice`]s are piggybacked on these packets, each a limited number of times
+//! ([`queue`]), so that the cost per node does not grow with the fleet. Findings are also sent
+//! immediately to a few peers, and to a peer whose digest differs: a node that was cut off has
+//! missed them.
 //!
-//! It owns no socket and no clock: the task that does feeds it datagrams and
-//! the time, and sends what it returns. Nothing here decides who may act
-//! alone: a wrong belief (a paused or partitioned node) costs latency, never
-//! a promise. The probe budget rests on the platform's list instead (crate
-//! `watch`).
+//! It owns no socket and no clock: the calling task feeds it datagrams and the time, and sends the
+//! packets that it returns. No exclusive right depends on this view: a wrong view (of a paused or
+//! partitioned node) costs latency but breaks no guarantee. The probe budget is therefore based on
+//! the platform's list (crate `watch`).
 
 mod findings;
-mod notes;
+mod health_reports;
 mod notices;
 mod queue;
 
@@ -30,57 +30,62 @@
 use smol_str::SmolStr;
 use wire::{Body, HealthReport, Incarnation, MemberUpdate, Packet, PingSeq, Sender, Standing};
 
-use crate::notes::Notes;
-use crate::queue::Queue;
+use crate::health_reports::HealthReports;
+use crate::queue::BroadcastQueue;
 
-/// Helpers asked to ping a peer that did not answer directly.
-const INDIRECT_HELPERS: usize = 2;
+/// Number of peers that are asked to ping a peer that did not respond directly.
+const INDIRECT_PING_HELPERS: usize = 2;
 
-/// One in this many pings goes to a listed node believed dead or not known
-/// yet. Without it a healed partition stays split: each side believes the
-/// other dead, and no one would talk first.
-const HEAL_ONE_IN: u32 = 4;
+/// On average, one in this many pings goes to a listed node that is dead or unknown, if there is
+/// one.
+///
+/// Without these pings a healed partition stays split: each side considers the other dead, and no
+/// node sends the first packet.
+const PINGS_PER_RECONNECT: u32 = 4;
 
-/// One in this many pings goes to another zone, as long as there are peers in the own one.
+/// On average, one in this many pings goes to another zone, if there are peers in the own zone.
 ///
-/// Bytes between zones are paid for. With peers chosen regardless of zone, four fifths of the pings
-/// of five zones and of the news on them crossed between these: 52 MB in a minute with two starts of
-/// 312 nodes. News still crosses with each node's every other second ping of another zone, and each
-/// node is pinged as often as before.
-const FAR_ONE_IN: u32 = 4;
+/// Traffic between zones is billed. With targets chosen regardless of zone, four fifths of the
+/// pings in a fleet of five zones crossed zones, with their piggybacked updates: 52 MB in a minute
+/// with two starts of 312 nodes. One cross-zone ping per node every two seconds is enough to carry
+/// updates between zones, and does not change how often each node is pinged.
+const PINGS_PER_CROSS_ZONE_PING: u32 = 4;
 
-/// Peers told at once of a newer head, among those not known to have seen it. One that is behind
-/// then asks the platform itself and tells as many.
-const TOLD_OF_HEADS: usize = 6;
+/// Number of peers that are sent a newer head immediately, among those not known to have it.
+///
+/// A peer that is behind then reads the change from the platform and notifies as many peers itself.
+const HEADS_FANOUT: usize = 6;
 
-/// Pings relayed for others and not answered yet, beyond which the oldest is forgotten.
-const MAX_RELAYS: usize = 64;
+/// Maximum number of unacknowledged pings on behalf of peers; beyond it the oldest is dropped.
+const MAX_RELAYED_PINGS: usize = 64;
 
-/// Times of the protocol.
+/// Intervals, timeouts and TTLs of the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// One peer is pinged this often.
-    pub period: Duration,
-    /// A ping not answered after this long is tried through helpers.
+    /// Interval at which the node pings one peer.
+    pub ping_interval: Duration,
+    /// Time without an acknowledgement after which other peers are asked to ping the target.
     pub ack_timeout: Duration,
-    /// A suspect that does not refute within this long is declared dead.
-    pub suspect_for: Duration,
-    /// A dead or left node that the platform does not list is forgotten after this long.
-    pub forget_after: Duration,
-    /// A note not repeated for this long no longer counts.
-    pub note_ttl: Duration,
+    /// Time after which a suspect that has not refuted the suspicion is declared dead.
+    pub suspicion_timeout: Duration,
+    /// Time after which a dead or left node that the platform does not list is removed.
+    pub dead_peer_ttl: Duration,
+    /// Time after which a health report that its watcher has not repeated expires.
+    pub health_report_ttl: Duration,
 }
 
 impl Default for Timing {
-    /// A dead node is declared dead about 4 s after it stops: the next ping
-    /// of it (within a period or two), an unanswered period, 3 s of suspicion.
+    /// Returns the production values.
+    ///
+    /// A node is declared dead about 4 s after it stops: one or two intervals until some peer pings
+    /// it, one interval without an acknowledgement, and 3 s of suspicion.
     fn default() -> Self {
         Timing {
-            period: Duration::from_millis(500),
+            ping_interval: Duration::from_millis(500),
             ack_timeout: Duration::from_millis(200),
-            suspect_for: Duration::from_secs(3),
-            forget_after: Duration::from_secs(600),
-            note_ttl: Duration::from_secs(30),
+            suspicion_timeout: Duration::from_secs(3),
+            dead_peer_ttl: Duration::from_secs(600),
+            health_report_ttl: Duration::from_secs(30),
         }
     }
 }
@@ -88,50 +93,51 @@
 /// A packet to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Where it goes.
+    /// Destination address.
     pub to: SocketAddr,
-    /// What to send.
+    /// Packet to encode and send.
     pub packet: Packet,
 }
 
-/// A change others act on.
+/// A change that the caller of [`Members`] acts on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A peer's standing changed, or the peer is new.
-    Peer {
+    PeerChanged {
         /// Address of the peer.
         addr: SocketAddr,
         /// Its zone.
         zone: SmolStr,
-        /// What is believed of it now.
+        /// Its standing from now on.
         standing: Standing,
     },
-    /// A peer that died or left long ago is no longer kept.
-    Forgotten {
-        /// Address it had.
+    /// A peer that died or left long ago was removed.
+    PeerRemoved {
+        /// Address of the peer.
         addr: SocketAddr,
     },
-    /// A peer holds config and the list of upstreams up to these commits.
-    Heads {
+    /// A peer reports up to which commits it has the config and the list of upstreams.
+    PeerHeads {
         /// Address of the peer.
         addr: SocketAddr,
-        /// Highest commit of the config it holds.
+        /// Highest commit of the config that the peer has.
         config_head: u64,
-        /// Highest commit of the list of upstreams it holds.
+        /// Highest commit of the list of upstreams that the peer has.
         list_head: u64,
     },
-    /// Another node's note on an upstream is new, changed or lapsed (then `Healthy`).
-    Note(HealthReport),
-    /// Another node knows this of a request that crashed upstreams.
+    /// Another node's health report on an upstream is new or repeated, or has expired (then
+    /// `Healthy`).
+    HealthReport(HealthReport),
+    /// Another node sent a finding about a request that crashed upstreams.
     Finding(Finding),
-    /// Another node tells what an upstream states about itself.
+    /// Another node sent what an upstream states about itself.
     Notice(Notice),
-    /// A peer holds back other requests than this node did when it last said so, and was not told
-    /// of late what this node knows.
-    Differs {
+    /// A peer's digest of quarantined requests differs from this node's, as last given to
+    /// [`Members::set_held_digest`], and the peer was not sent all findings recently.
+    DigestMismatch {
         /// Address of the peer.
         addr: SocketAddr,
-        /// Its digest.
+        /// Digest of the requests that the peer quarantines.
         held_digest: u64,
     },
 }
@@ -141,61 +147,61 @@
     incarnation: Incarnation,
     standing: Standing,
     zone: SmolStr,
-    /// When the standing last changed.
-    since: Instant,
+    standing_since: Instant,
     config_head: u64,
     list_head: u64,
-    /// Whether its heads are its own word in this incarnation.
-    heard: bool,
-    /// When it was told all findings.
-    told_all_at: Option<Instant>,
+    /// Whether the peer itself has sent its heads; false for a peer known only from other nodes.
+    heads_received: bool,
+    /// When the peer was last sent all findings.
+    findings_sent_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Ping {
+struct PendingPing {
     target: SocketAddr,
     seq: PingSeq,
     sent_at: Instant,
-    asked_helpers: bool,
+    helpers_asked: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Relay {
-    my_seq: PingSeq,
+struct RelayedPing {
+    local_seq: PingSeq,
     requester: SocketAddr,
-    their_seq: PingSeq,
+    requester_seq: PingSeq,
 }
 
-/// One node's membership state.
+/// Membership state of one node.
 pub struct Members {
-    me: Sender,
+    local: Sender,
     timing: Timing,
     rng: SmallRng,
     peers: BTreeMap<SocketAddr, Peer>,
-    /// Entry nodes the platform lists, with their zones: whom to join and to heal with.
+    /// Entry nodes that the platform lists, with their zones: pinged to join the fleet and to heal
+    /// a partition.
     listed: BTreeMap<SocketAddr, SmolStr>,
-    queue: Queue,
-    notes: Notes,
-    /// Peers of the own zone still to be pinged in this round, each once.
-    near_round: Vec<SocketAddr>,
-    /// The same for those of other zones.
-    far_round: Vec<SocketAddr>,
-    ping: Option<Ping>,
+    queue: BroadcastQueue,
+    health_reports: HealthReports,
+    /// Peers of the own zone that are still to be pinged in this round, each once.
+    same_zone_round: Vec<SocketAddr>,
+    /// The same for peers of other zones.
+    cross_zone_round: Vec<SocketAddr>,
+    pending_ping: Option<PendingPing>,
     next_ping_at: Option<Instant>,
     next_seq: PingSeq,
-    relays: Vec<Relay>,
+    relayed_pings: Vec<RelayedPing>,
     leaving: bool,
-    told_at_once: notices::ToldAtOnce,
+    notice_limiter: notices::NoticeLimiter,
     events: Vec<Event>,
 }
 
 impl Members {
-    /// Creates the state of a node that knows nobody yet.
+    /// Creates the state of a node that has no peers yet.
     ///
-    /// `incarnation` is best the time of day in milliseconds: peers that did
-    /// not notice a quick restart then see a new life and tell it all they
-    /// know. Should the time of day have stepped back, the node hears of its
-    /// former life and takes a higher number itself.
+    /// `incarnation` should be the wall clock in Unix milliseconds. Peers that did not notice a
+    /// quick restart then see a new incarnation and send the node their full state. If the wall
+    /// clock has stepped back, the node learns of its previous incarnation from peers and raises
+    /// its own above it.
     pub fn new(
         addr: SocketAddr,
         zone: SmolStr,
@@ -204,190 +210,203 @@
         rng: SmallRng,
     ) -> Members {
         Members {
-            me: Sender { addr, incarnation, zone, config_head: 0, list_head: 0, held_digest: 0 },
+            local: Sender { addr, incarnation, zone, config_head: 0, list_head: 0, held_digest: 0 },
             timing,
             rng,
             peers: BTreeMap::new(),
             listed: BTreeMap::new(),
-            queue: Queue::default(),
-            notes: Notes::default(),
-            near_round: Vec::new(),
-            far_round: Vec::new(),
-            ping: None,
+            queue: BroadcastQueue::default(),
+            health_reports: HealthReports::default(),
+            same_zone_round: Vec::new(),
+            cross_zone_round: Vec::new(),
+            pending_ping: None,
             next_ping_at: None,
             next_seq: 0,
-            relays: Vec::new(),
+            relayed_pings: Vec::new(),
             leaving: false,
-            told_at_once: notices::ToldAtOnce::default(),
+            notice_limiter: notices::NoticeLimiter::default(),
             events: Vec::new(),
         }
     }
 
-    /// Takes the platform's list of entry nodes; this node itself is skipped.
+    /// Replaces the platform's list of entry nodes with their zones; this node itself is skipped.
     pub fn set_listed(&mut self, listed: impl IntoIterator<Item = (SocketAddr, SmolStr)>) {
-        let me = self.me.addr;
-        self.listed = listed.into_iter().filter(|(addr, _)| *addr != me).collect();
+        let local_addr = self.local.addr;
+        self.listed = listed.into_iter().filter(|(addr, _)| *addr != local_addr).collect();
     }
 
-    /// Tells peers from now on that this node holds config up to `head`.
+    /// Sets the highest commit of the config that this node has, reported in each later packet.
     pub fn set_config_head(&mut self, head: u64) {
-        self.me.config_head = head;
+        self.local.config_head = head;
     }
 
-    /// Records up to which commits this node holds the config and the list of upstreams, and with
-    /// `tell` tells a few peers at once when either is news.
+    /// Sets the highest commits of the config and of the list of upstreams that this node has.
     ///
-    /// Pings alone would tell of a change within about a second; a peer whose own source of
-    /// changes is dead must notice sooner than that. Where every node of a fleet of 300 told six
-    /// others of every change, that alone was most of the bytes between zones: only nodes that
-    /// have the change from the platform itself should tell.
-    pub fn set_heads(&mut self, config_head: u64, list_head: u64, tell: bool) -> Vec<Outgoing> {
-        let news = config_head > self.me.config_head || list_head > self.me.list_head;
-        self.me.config_head = config_head;
-        self.me.list_head = list_head;
-        if !news || !tell || self.leaving {
+    /// If either has advanced and `notify` is set, returns packets that notify a few peers
+    /// immediately. Pings alone would take about a second, and a peer whose own source of changes
+    /// is down must notice sooner. Only nodes that read the change from the platform itself should
+    /// set `notify`: when every node of a fleet of 300 notified six peers of every change, these
+    /// packets were most of the traffic between zones.
+    pub fn set_heads(&mut self, config_head: u64, list_head: u64, notify: bool) -> Vec<Outgoing> {
+        let has_advanced = config_head > self.local.config_head || list_head > self.local.list_head;
+        self.local.config_head = config_head;
+        self.local.list_head = list_head;
+        if !has_advanced || !notify || self.leaving {
             return Vec::new();
         }
-        // Peers known to have seen as much need not be told.
-        let behind = |peer: &Peer| {
+        // Peers that are known to have both heads need no notification.
+        let is_behind = |peer: &Peer| {
             peer.standing <= Standing::Suspect
                 && (peer.config_head < config_head || peer.list_head < list_head)
         };
-        let peers = self.peers.iter().filter(|(_, peer)| behind(peer)).map(|(addr, _)| *addr);
-        let told = peers.choose_multiple(&mut self.rng, TOLD_OF_HEADS);
-        told.into_iter().map(|to| self.pack(to, Body::Gossip)).collect()
+        let peers = self.peers.iter().filter(|(_, peer)| is_behind(peer)).map(|(addr, _)| *addr);
+        let recipients = peers.choose_multiple(&mut self.rng, HEADS_FANOUT);
+        recipients.into_iter().map(|to| self.build_packet(to, Body::Gossip)).collect()
     }
 
-    /// Spreads what this node learned by watching an upstream.
-    pub fn set_note(
+    /// Records this node's own verdict on an upstream and queues it as a health report for all
+    /// peers.
+    ///
+    /// `unix_ms` is the wall clock: the sequence numbers of the reports start at it.
+    pub fn report_health(
         &mut self,
         upstream: SocketAddr,
         verdict: wire::Verdict,
         unix_ms: u64,
         now: Instant,
     ) {
-        let note = self.notes.own(upstream, self.me.addr, verdict, unix_ms, now);
-        self.queue.push_note(note);
+        let report =
+            self.health_reports.record_own(upstream, self.local.addr, verdict, unix_ms, now);
+        self.queue.push_health_report(report);
     }
 
-    /// Returns the standing of the peer at `addr`, if it is known.
+    /// Returns the standing of the peer at `addr`, or `None` for an unknown peer.
     pub fn standing(&self, addr: SocketAddr) -> Option<Standing> {
         self.peers.get(&addr).map(|peer| peer.standing)
     }
 
-    /// Returns the peers that are alive or suspected.
-    pub fn reachable(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+    /// Returns the addresses of the peers that are alive or suspect.
+    pub fn reachable_peers(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.peers.iter().filter(|(_, p)| p.standing <= Standing::Suspect).map(|(addr, _)| *addr)
     }
 
-    /// Returns the changes since the last call.
+    /// Returns the events since the last call, in order.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Advances to `now`: pings, asks helpers, declares deaths, repeats notes.
+    /// Advances the state to `now` and returns the packets to send.
     ///
-    /// To be called several times per [`Timing::ack_timeout`].
+    /// Pings peers, directly and through others, declares overdue suspects dead, removes expired
+    /// peers, and repeats or expires health reports. Must be called several times per
+    /// [`Timing::ack_timeout`].
     pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
         let mut out = Vec::new();
         if self.leaving {
             return out;
         }
-        self.declare_deaths(now);
-        self.forget(now);
-        for note in self.notes.tick(self.me.addr, now, self.timing.note_ttl) {
-            match note {
-                notes::Due::Repeat(note) => self.queue.push_note(note),
-                notes::Due::Lapsed(note) => self.events.push(Event::Note(note)),
+        self.declare_dead(now);
+        self.remove_expired(now);
+        for due in self.health_reports.tick(self.local.addr, now, self.timing.health_report_ttl) {
+            match due {
+                health_reports::Due::Repeat(report) => self.queue.push_health_report(report),
+                health_reports::Due::Expired(report) => {
+                    self.events.push(Event::HealthReport(report))
+                }
             }
         }
-        self.ask_helpers(now, &mut out);
+        self.send_indirect_pings(now, &mut out);
         if self.next_ping_at.is_none_or(|at| at <= now) {
-            self.next_ping_at = Some(now + self.timing.period);
-            self.suspect_silent(now);
-            if let Some(target) = self.next_target() {
-                out.push(self.ping(target, now));
+            self.next_ping_at = Some(now + self.timing.ping_interval);
+            self.suspect_unresponsive(now);
+            if let Some(target) = self.next_ping_target() {
+                out.push(self.start_ping(target, now));
             }
         }
         out
     }
 
-    /// Takes a datagram that came from `from`.
+    /// Handles a packet received from `from` and returns the packets to send.
+    ///
+    /// Ignores a packet whose sender address is not `from`.
     pub fn receive(&mut self, from: SocketAddr, packet: Packet, now: Instant) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        // The sender's own word for its address must match where the datagram came from: a
-        // reply to any other address would go to a node that never asked.
-        if from != packet.sender.addr || from == self.me.addr {
+        // The sender address in the packet must match the source of the datagram: otherwise a
+        // reply would go to a node that did not ask for it.
+        if from != packet.sender.addr || from == self.local.addr {
             return out;
         }
-        let newcomer = self.hear_sender(&packet.sender, now);
+        let is_new_incarnation = self.record_sender(&packet.sender, now);
         for update in &packet.members {
-            self.hear(update, now);
+            self.merge_update(update, now);
         }
-        for note in &packet.health_reports {
-            if note.watcher != self.me.addr && self.notes.hear(*note, now) {
-                self.queue.push_note(*note);
-                self.events.push(Event::Note(*note));
+        for report in &packet.health_reports {
+            if report.watcher != self.local.addr && self.health_reports.merge(*report, now) {
+                self.queue.push_health_report(*report);
+                self.events.push(Event::HealthReport(*report));
             }
         }
         self.events.extend(packet.notices.into_iter().map(Event::Notice));
-        self.hear_findings(&packet.sender, packet.findings, now);
-        if newcomer && !self.leaving {
-            self.greet(from, &mut out);
+        self.handle_findings(&packet.sender, packet.findings, now);
+        if is_new_incarnation && !self.leaving {
+            self.send_full_state(from, &mut out);
         }
         match packet.body {
-            Body::Ping(seq) if !self.leaving => out.push(self.pack(from, Body::Ack(seq))),
-            Body::Ack(seq) => self.acked(from, seq, &mut out),
-            Body::PingReq(their_seq, target) if !self.leaving && target != self.me.addr => {
-                let my_seq = self.take_seq();
-                if self.relays.len() >= MAX_RELAYS {
-                    self.relays.remove(0);
+            Body::Ping(seq) if !self.leaving => out.push(self.build_packet(from, Body::Ack(seq))),
+            Body::Ack(seq) => self.handle_ack(from, seq, &mut out),
+            Body::PingReq(requester_seq, target) if !self.leaving && target != self.local.addr => {
+                let local_seq = self.take_seq();
+                if self.relayed_pings.len() >= MAX_RELAYED_PINGS {
+                    self.relayed_pings.remove(0);
                 }
-                self.relays.push(Relay { my_seq, requester: from, their_seq });
-                out.push(self.pack(target, Body::Ping(my_seq)));
+                self.relayed_pings.push(RelayedPing { local_seq, requester: from, requester_seq });
+                out.push(self.build_packet(target, Body::Ping(local_seq)));
             }
             Body::Ping(_) | Body::PingReq(..) | Body::Gossip => {}
         }
         out
     }
 
-    /// Tells every reachable peer that this node leaves; it answers nothing afterwards.
+    /// Returns packets that tell every reachable peer that this node leaves.
     ///
-    /// Without it, peers would list the node to callers until it is declared
-    /// dead, seconds after it is gone.
+    /// Afterwards the node starts no pings and answers none. Without this announcement, peers would
+    /// keep listing the node to callers until they declare it dead, seconds after it stopped.
     pub fn leave(&mut self) -> Vec<Outgoing> {
         self.leaving = true;
         let update = MemberUpdate {
-            addr: self.me.addr,
-            incarnation: self.me.incarnation,
+            addr: self.local.addr,
+            incarnation: self.local.incarnation,
             standing: Standing::Left,
-            zone: self.me.zone.clone(),
+            zone: self.local.zone.clone(),
         };
-        let peers: Vec<SocketAddr> = self.reachable().collect();
+        let peers: Vec<SocketAddr> = self.reachable_peers().collect();
         peers
             .into_iter()
             .map(|to| Outgoing {
                 to,
-                packet: Packet { members: vec![update.clone()], ..self.news() },
+                packet: Packet { members: vec![update.clone()], ..self.bare_packet() },
             })
             .collect()
     }
 
-    /// Takes direct evidence: the sender is alive at its incarnation. Returns true for a newcomer.
-    fn hear_sender(&mut self, sender: &Sender, now: Instant) -> bool {
+    /// Records that the sender of a packet is alive, and its heads.
+    ///
+    /// Returns whether the sender was unknown or has a higher incarnation than before.
+    fn record_sender(&mut self, sender: &Sender, now: Instant) -> bool {
         let known = self.peers.get(&sender.addr).map(|p| (p.incarnation, p.standing));
         match known {
-            // It answered us, so we stop suspecting it; others are refuted by itself. A dead or
-            // left member is back only with a higher incarnation: a late datagram of its former
-            // life must not raise it.
+            // The packet clears this node's own suspicion; the peer refutes that of other nodes
+            // itself. A dead or left member only returns with a higher incarnation: a delayed
+            // datagram of its previous incarnation must not revive it.
             Some((incarnation, Standing::Suspect)) if sender.incarnation == incarnation => {
                 self.set_standing(sender.addr, Standing::Alive, now);
             }
             _ => {}
         }
-        // A new life starts without config: its head counts anew.
-        let newcomer = known.is_none_or(|(incarnation, _)| sender.incarnation > incarnation);
-        self.hear(
+        // A new incarnation starts without config, so its heads may be lower than before.
+        let is_new_incarnation =
+            known.is_none_or(|(incarnation, _)| sender.incarnation > incarnation);
+        self.merge_update(
             &MemberUpdate {
                 addr: sender.addr,
                 incarnation: sender.incarnation,
@@ -398,15 +417,15 @@
         );
         match self.peers.get_mut(&sender.addr) {
             Some(peer)
-                if newcomer
-                    || !peer.heard
+                if is_new_incarnation
+                    || !peer.heads_received
                     || sender.config_head > peer.config_head
                     || sender.list_head > peer.list_head =>
             {
                 peer.config_head = sender.config_head;
                 peer.list_head = sender.list_head;
-                peer.heard = true;
-                self.events.push(Event::Heads {
+                peer.heads_received = true;
+                self.events.push(Event::PeerHeads {
                     addr: sender.addr,
                     config_head: sender.config_head,
                     list_head: sender.list_head,
@@ -414,15 +433,15 @@
             }
             _ => {}
         }
-        newcomer
+        is_new_incarnation
     }
 
-    /// Takes one member update: the higher (incarnation, standing) wins.
-    fn hear(&mut self, update: &MemberUpdate, now: Instant) {
-        if update.addr == self.me.addr {
+    /// Merges one membership update: the higher (incarnation, standing) wins.
+    fn merge_update(&mut self, update: &MemberUpdate, now: Instant) {
+        if update.addr == self.local.addr {
             return self.refute(update);
         }
-        let news = match self.peers.get_mut(&update.addr) {
+        let is_newer = match self.peers.get_mut(&update.addr) {
             Some(peer)
                 if (update.incarnation, update.standing) > (peer.incarnation, peer.standing) =>
             {
@@ -432,12 +451,12 @@
                 }
                 if peer.standing != update.standing {
                     peer.standing = update.standing;
-                    peer.since = now;
+                    peer.standing_since = now;
                 }
                 true
             }
             Some(_) => false,
-            // News of a death of someone never known is nothing to keep.
+            // The death of a node that was never known needs no entry.
             None if update.standing >= Standing::Dead => false,
             None => {
                 self.peers.insert(
@@ -446,39 +465,45 @@
                         incarnation: update.incarnation,
                         standing: update.standing,
                         zone: update.zone.clone(),
-                        since: now,
+                        standing_since: now,
                         config_head: 0,
                         list_head: 0,
-                        heard: false,
-                        told_all_at: None,
+                        heads_received: false,
+                        findings_sent_at: None,
                     },
                 );
                 true
             }
         };
-        if news {
+        if is_newer {
             self.announce(update.addr);
         }
     }
 
-    /// Answers news of this node's own suspicion or death with a higher incarnation.
+    /// Raises this node's incarnation to refute an update that calls it suspect, dead or left, or
+    /// that has a higher incarnation than its own.
     fn refute(&mut self, update: &MemberUpdate) {
-        let wrong = update.standing != Standing::Alive || update.incarnation > self.me.incarnation;
-        if wrong && update.incarnation >= self.me.incarnation && !self.leaving {
-            self.me.incarnation = update.incarnation + 1;
+        let needs_refuting =
+            update.standing != Standing::Alive || update.incarnation > self.local.incarnation;
+        if needs_refuting && update.incarnation >= self.local.incarnation && !self.leaving {
+            self.local.incarnation = update.incarnation + 1;
             self.queue.push_member(MemberUpdate {
-                addr: self.me.addr,
-                incarnation: self.me.incarnation,
+                addr: self.local.addr,
+                incarnation: self.local.incarnation,
                 standing: Standing::Alive,
-                zone: self.me.zone.clone(),
+                zone: self.local.zone.clone(),
             });
         }
     }
 
-    /// Queues the peer's state for spreading and reports it.
+    /// Queues the peer's state for all peers and emits an event.
     fn announce(&mut self, addr: SocketAddr) {
         let Some(peer) = self.peers.get(&addr) else { return };
-        self.events.push(Event::Peer { addr, zone: peer.zone.clone(), standing: peer.standing });
+        self.events.push(Event::PeerChanged {
+            addr,
+            zone: peer.zone.clone(),
+            standing: peer.standing,
+        });
         self.queue.push_member(member_update(addr, peer));
     }
 
@@ -486,20 +511,20 @@
         match self.peers.get_mut(&addr) {
             Some(peer) if peer.standing != standing => {
                 peer.standing = standing;
-                peer.since = now;
+                peer.standing_since = now;
                 self.announce(addr);
             }
             _ => {}
         }
     }
 
-    fn declare_deaths(&mut self, now: Instant) {
+    fn declare_dead(&mut self, now: Instant) {
         let overdue: Vec<SocketAddr> = self
             .peers
             .iter()
             .filter(|(_, p)| {
                 p.standing == Standing::Suspect
-                    && now.duration_since(p.since) >= self.timing.suspect_for
+                    && now.duration_since(p.standing_since) >= self.timing.suspicion_timeout
             })
             .map(|(addr, _)| *addr)
             .collect();
@@ -508,39 +533,39 @@
         }
     }
 
-    fn forget(&mut self, now: Instant) {
-        let (listed, after) = (&self.listed, self.timing.forget_after);
-        let forgotten: Vec<SocketAddr> = self
+    fn remove_expired(&mut self, now: Instant) {
+        let (listed, ttl) = (&self.listed, self.timing.dead_peer_ttl);
+        let expired: Vec<SocketAddr> = self
             .peers
             .iter()
             .filter(|(addr, peer)| {
                 peer.standing >= Standing::Dead
                     && !listed.contains_key(addr)
-                    && now.duration_since(peer.since) >= after
+                    && now.duration_since(peer.standing_since) >= ttl
             })
             .map(|(addr, _)| *addr)
             .collect();
-        for addr in forgotten {
+        for addr in expired {
             self.peers.remove(&addr);
-            self.events.push(Event::Forgotten { addr });
+            self.events.push(Event::PeerRemoved { addr });
         }
     }
 
-    /// Suspects the target of the last ping if it never answered.
-    fn suspect_silent(&mut self, now: Instant) {
-        let Some(ping) = self.ping.take() else { return };
+    /// Suspects the target of the last ping if no acknowledgement has arrived.
+    fn suspect_unresponsive(&mut self, now: Instant) {
+        let Some(ping) = self.pending_ping.take() else { return };
         if self.standing(ping.target) == Some(Standing::Alive) {
             self.set_standing(ping.target, Standing::Suspect, now);
         }
     }
 
-    fn ask_helpers(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
-        let due = match &mut self.ping {
+    fn send_indirect_pings(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
+        let unanswered = match &mut self.pending_ping {
             Some(ping)
-                if !ping.asked_helpers
+                if !ping.helpers_asked
                     && now.duration_since(ping.sent_at) >= self.timing.ack_timeout =>
             {
-                ping.asked_helpers = true;
+                ping.helpers_asked = true;
                 *ping
             }
             _ => return,
@@ -548,58 +573,65 @@
         let helpers = self
             .peers
             .iter()
-            .filter(|(addr, p)| p.standing == Standing::Alive && **addr != due.target)
+            .filter(|(addr, p)| p.standing == Standing::Alive && **addr != unanswered.target)
             .map(|(addr, _)| *addr)
-            .choose_multiple(&mut self.rng, INDIRECT_HELPERS);
+            .choose_multiple(&mut self.rng, INDIRECT_PING_HELPERS);
         for helper in helpers {
-            out.push(self.pack(helper, Body::PingReq(due.seq, due.target)));
+            out.push(self.build_packet(helper, Body::PingReq(unanswered.seq, unanswered.target)));
         }
     }
 
-    /// Returns whom to ping next: every reachable peer of the own zone, and of others, once per round
-    /// in random order, and now and then a listed node that is believed dead or not known.
-    fn next_target(&mut self) -> Option<SocketAddr> {
+    /// Chooses the target of the next ping.
+    ///
+    /// Every reachable peer of the own zone, and of the other zones, has its turn once per round,
+    /// in random order. Now and then the target is a listed node that is dead or unknown.
+    fn next_ping_target(&mut self) -> Option<SocketAddr> {
         let (peers, rng) = (&self.peers, &mut self.rng);
-        let lost = self
+        let unreachable = self
             .listed
             .keys()
             .filter(|addr| peers.get(addr).is_none_or(|p| p.standing >= Standing::Dead))
             .copied()
             .choose(rng);
-        let alone = peers.values().all(|p| p.standing >= Standing::Dead);
-        match lost {
-            Some(addr) if alone || rng.random_ratio(1, HEAL_ONE_IN) => return Some(addr),
+        let is_isolated = peers.values().all(|p| p.standing >= Standing::Dead);
+        match unreachable {
+            Some(addr) if is_isolated || rng.random_ratio(1, PINGS_PER_RECONNECT) => {
+                return Some(addr)
+            }
             _ => {}
         }
-        let near = !self.rng.random_ratio(1, FAR_ONE_IN);
-        self.next_of_round(near).or_else(|| self.next_of_round(!near))
+        let same_zone = !self.rng.random_ratio(1, PINGS_PER_CROSS_ZONE_PING);
+        self.next_in_round(same_zone).or_else(|| self.next_in_round(!same_zone))
     }
 
-    /// Returns the next peer of the round in the own zone (`near`) or in the others.
-    fn next_of_round(&mut self, near: bool) -> Option<SocketAddr> {
-        let mut round =
-            std::mem::take(if near { &mut self.near_round } else { &mut self.far_round });
+    /// Returns the next peer of the round in the own zone (`same_zone`) or in the other zones.
+    fn next_in_round(&mut self, same_zone: bool) -> Option<SocketAddr> {
+        let mut round = std::mem::take(if same_zone {
+            &mut self.same_zone_round
+        } else {
+            &mut self.cross_zone_round
+        });
         if round.is_empty() {
-            let is_wanted = |peer: &Peer| {
-                peer.standing <= Standing::Suspect && (peer.zone == self.me.zone) == near
+            let is_candidate = |peer: &Peer| {
+                peer.standing <= Standing::Suspect && (peer.zone == self.local.zone) == same_zone
             };
-            let wanted = self.peers.iter().filter(|(_, peer)| is_wanted(peer));
-            round = wanted.map(|(addr, _)| *addr).collect();
+            let candidates = self.peers.iter().filter(|(_, peer)| is_candidate(peer));
+            round = candidates.map(|(addr, _)| *addr).collect();
             round.shuffle(&mut self.rng);
         }
         let mut next = None;
         while let (None, Some(addr)) = (next, round.pop()) {
             next = self.standing(addr).is_some_and(|s| s <= Standing::Suspect).then_some(addr);
         }
-        *(if near { &mut self.near_round } else { &mut self.far_round }) = round;
+        *(if same_zone { &mut self.same_zone_round } else { &mut self.cross_zone_round }) = round;
         next
     }
 
-    fn ping(&mut self, target: SocketAddr, now: Instant) -> Outgoing {
+    fn start_ping(&mut self, target: SocketAddr, now: Instant) -> Outgoing {
         let seq = self.take_seq();
-        self.ping = Some(Ping { target, seq, sent_at: now, asked_helpers: false });
-        let mut out = self.pack(target, Body::Ping(seq));
-        // A node believed suspect or dead must hear of it to refute it.
+        self.pending_ping = Some(PendingPing { target, seq, sent_at: now, helpers_asked: false });
+        let mut out = self.build_packet(target, Body::Ping(seq));
+        // A node considered suspect or dead must learn of it in order to refute it.
         match self.peers.get(&target) {
             Some(peer) if peer.standing != Standing::Alive => {
                 out.packet.members.push(member_update(target, peer));
@@ -609,43 +641,45 @@
         out
     }
 
-    fn acked(&mut self, from: SocketAddr, seq: PingSeq, out: &mut Vec<Outgoing>) {
-        if self.ping.is_some_and(|ping| ping.seq == seq) {
-            self.ping = None;
+    fn handle_ack(&mut self, from: SocketAddr, seq: PingSeq, out: &mut Vec<Outgoing>) {
+        if self.pending_ping.is_some_and(|ping| ping.seq == seq) {
+            self.pending_ping = None;
         }
-        if let Some(index) = self.relays.iter().position(|relay| relay.my_seq == seq) {
-            let relay = self.relays.swap_remove(index);
+        if let Some(index) = self.relayed_pings.iter().position(|relay| relay.local_seq == seq) {
+            let relay = self.relayed_pings.swap_remove(index);
             if relay.requester != from {
-                out.push(self.pack(relay.requester, Body::Ack(relay.their_seq)));
+                out.push(self.build_packet(relay.requester, Body::Ack(relay.requester_seq)));
             }
         }
     }
 
-    /// Sends a newcomer everything known, in as many packets as it takes.
-    fn greet(&mut self, to: SocketAddr, out: &mut Vec<Outgoing>) {
+    /// Sends all live members and all health reports other than healthy ones to a new node, in as
+    /// many packets as needed.
+    fn send_full_state(&mut self, to: SocketAddr, out: &mut Vec<Outgoing>) {
         let members: Vec<MemberUpdate> = self
             .peers
             .iter()
             .filter(|(addr, p)| **addr != to && p.standing < Standing::Dead)
             .map(|(addr, p)| member_update(*addr, p))
             .collect();
-        let bad_news = self.notes.bad();
-        for (members, health_reports) in queue::split(&self.me, members, bad_news) {
-            let packet = Packet { members, health_reports, ..self.news() };
+        let unhealthy_reports = self.health_reports.unhealthy();
+        for (members, health_reports) in queue::split_state(&self.local, members, unhealthy_reports)
+        {
+            let packet = Packet { members, health_reports, ..self.bare_packet() };
             out.push(Outgoing { to, packet });
         }
     }
 
-    fn pack(&mut self, to: SocketAddr, body: Body) -> Outgoing {
-        let mut packet = Packet { body, ..self.news() };
+    fn build_packet(&mut self, to: SocketAddr, body: Body) -> Outgoing {
+        let mut packet = Packet { body, ..self.bare_packet() };
         self.queue.fill(&mut packet, self.peers.len());
         Outgoing { to, packet }
     }
 
-    /// Returns a packet that tells nothing but what this node is.
-    fn news(&self) -> Packet {
+    /// Returns a packet that holds only the description of this node.
+    fn bare_packet(&self) -> Packet {
         Packet {
-            sender: self.me.clone(),
+            sender: self.local.clone(),
             body: Body::Gossip,
             members: Vec::new(),
             health_reports: Vec::new(),
--- a/crates/member/src/notices.rs
+++ b/crates/member/src/notices.rs
@@ -1,7 +1,8 @@
-//! What upstreams state about themselves, as it travels.
+//! Dissemination of what upstreams state about themselves.
 //!
-//! A change is told to a few peers as soon as it is news; all of it rides on pings. Where hundreds of
-//! upstreams state something at once, as when an availability zone is taken down, pings alone tell the rest.
+//! Every notice is piggybacked on pings, and a change is also sent to a few peers immediately. When
+//! hundreds of upstreams state something at the same time, for instance when an availability zone
+//! is taken down, only the first changes are sent immediately, and pings alone carry the rest.
 
 use std::time::{Duration, Instant};
 
@@ -10,36 +11,42 @@
 
 use crate::{Members, Outgoing};
 
-/// Changes that a node tells at once, at most, in [`PERIOD`].
-const AT_ONCE_MOST: u32 = 20;
+/// Maximum number of changes that a node sends immediately within [`NOTICE_LIMIT_WINDOW`].
+const MAX_IMMEDIATE_NOTICES: u32 = 20;
 
-/// Time in which they are counted.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Length of the window in which changes are counted.
+const NOTICE_LIMIT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Changes told at once since a moment.
+/// Fixed-window rate limiter for the changes that are sent immediately.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ToldAtOnce {
-    since: Option<Instant>,
+pub(crate) struct NoticeLimiter {
+    window_start: Option<Instant>,
     count: u32,
 }
 
-impl ToldAtOnce {
-    /// Counts one more; false when there were enough.
-    fn may_tell(&mut self, now: Instant) -> bool {
-        if self.since.is_none_or(|since| now >= since + PERIOD) {
-            *self = ToldAtOnce { since: Some(now), count: 0 };
+impl NoticeLimiter {
+    /// Counts one change; returns false when the window already has [`MAX_IMMEDIATE_NOTICES`].
+    fn allow(&mut self, now: Instant) -> bool {
+        if self.window_start.is_none_or(|window_start| now >= window_start + NOTICE_LIMIT_WINDOW) {
+            *self = NoticeLimiter { window_start: Some(now), count: 0 };
         }
         self.count += 1;
-        self.count <= AT_ONCE_MOST
+        self.count <= MAX_IMMEDIATE_NOTICES
     }
 }
 
 impl Members {
-    /// Spreads what an upstream states about itself.
-    pub fn spread_notice(&mut self, news: News, now: Instant) -> Vec<Outgoing> {
-        self.queue.push_notice(news.notice.clone());
-        match news.is_change && self.told_at_once.may_tell(now) {
-            true => self.tell_a_few(Packet { notices: vec![news.notice], ..self.news() }),
+    /// Queues what an upstream states about itself for piggybacking.
+    ///
+    /// For a change, also returns packets that send it to a few peers immediately, within a rate
+    /// limit.
+    pub fn broadcast_notice(&mut self, new_notice: News, now: Instant) -> Vec<Outgoing> {
+        self.queue.push_notice(new_notice.notice.clone());
+        match new_notice.is_change && self.notice_limiter.allow(now) {
+            true => self.send_immediately(Packet {
+                notices: vec![new_notice.notice],
+                ..self.bare_packet()
+            }),
             false => Vec::new(),
         }
     }
--- a/crates/member/src/queue.rs
+++ b/crates/member/src/queue.rs
@@ -1,10 +1,9 @@
-//! News waiting to be spread, and how often each item has been sent.
+//! Queue of updates to broadcast, with the number of times each has been sent.
 //!
-//! An item is sent a few times more than the logarithm of the fleet's size and then
-//! dropped: by then it has reached every reachable node with high
-//! probability, as an epidemic does. Newer news of the same subject replaces
-//! older. What a packet may carry is bounded by its size, so a burst of news
-//! takes longer to spread but never sends more bytes.
+//! An update is sent a few times more than the logarithm of the fleet size and then dropped: by
+//! then epidemic dissemination has reached every reachable node with high probability. A newer
+//! update on the same subject replaces an older one. Each packet carries only what fits its maximum
+//! size, so a burst of updates takes longer to spread but does not make packets larger.
 
 use std::net::SocketAddr;
 
@@ -12,131 +11,141 @@
 use quarantine::Finding;
 use wire::{HealthReport, MemberUpdate, Packet, Sender, MAX_PACKET_BYTES};
 
-/// An item is sent this often beyond the logarithm (to base two) of the fleet's size.
+/// Number of transmissions of an update beyond the base-2 logarithm of the fleet size.
 ///
-/// Each node that has heard of an item sends it `r` times to peers at random, and a share of `e^-r`
-/// never hears of it: with 13 times in a fleet of 312, one item in a thousand misses one node. Sent
-/// three times the logarithm, 30 times, every packet was full for a minute after a start: 1.1 MB/s,
-/// four fifths of it between zones.
-const REPEATS_BEYOND_LOG: u32 = 4;
+/// If each node that has an update sends it `r` times to random peers, a share `e^-r` of the nodes
+/// never receives it: with 13 transmissions in a fleet of 312, one update in a thousand misses one
+/// node. With three times the logarithm, 30 transmissions, every packet was full for a minute after
+/// a start of the fleet: 1.1 MB/s, four fifths of it between zones.
+const EXTRA_TRANSMISSIONS: u32 = 4;
 
 #[derive(Clone, Debug)]
-struct Item<T> {
+struct Queued<T> {
     value: T,
-    sent: u32,
+    transmissions: u32,
     bytes: usize,
 }
 
-/// News waiting to be spread.
+/// Updates waiting to be piggybacked.
 #[derive(Default)]
-pub(crate) struct Queue {
-    members: Vec<Item<MemberUpdate>>,
-    notes: Vec<Item<HealthReport>>,
-    findings: Vec<Item<Finding>>,
-    notices: Vec<Item<Notice>>,
+pub(crate) struct BroadcastQueue {
+    members: Vec<Queued<MemberUpdate>>,
+    health_reports: Vec<Queued<HealthReport>>,
+    findings: Vec<Queued<Finding>>,
+    notices: Vec<Queued<Notice>>,
 }
 
-impl Queue {
-    /// Queues a finding in place of an older one on the same request.
+impl BroadcastQueue {
+    /// Queues a finding; replaces an older one on the same request.
     pub(crate) fn push_finding(&mut self, finding: Finding) {
-        self.findings.retain(|item| item.value.content != finding.content);
+        self.findings.retain(|queued| queued.value.content != finding.content);
         let bytes = wire::encoded_bytes(&finding);
-        self.findings.push(Item { value: finding, sent: 0, bytes });
+        self.findings.push(Queued { value: finding, transmissions: 0, bytes });
     }
 
-    /// Queues a notice in place of an older one of the same upstream.
+    /// Queues a notice; replaces an older one of the same upstream.
     pub(crate) fn push_notice(&mut self, notice: Notice) {
-        self.notices.retain(|item| !notice.replaces(&item.value));
+        self.notices.retain(|queued| !notice.replaces(&queued.value));
         let bytes = wire::encoded_bytes(&notice);
-        self.notices.push(Item { value: notice, sent: 0, bytes });
+        self.notices.push(Queued { value: notice, transmissions: 0, bytes });
     }
 
-    /// Queues news of a member in place of older news of it.
+    /// Queues a membership update; replaces an older one on the same member.
     pub(crate) fn push_member(&mut self, update: MemberUpdate) {
-        self.members.retain(|item| item.value.addr != update.addr);
+        self.members.retain(|queued| queued.value.addr != update.addr);
         let bytes = wire::encoded_bytes(&update);
-        self.members.push(Item { value: update, sent: 0, bytes });
+        self.members.push(Queued { value: update, transmissions: 0, bytes });
     }
 
-    /// Queues a note in place of the same watcher's older note on the upstream.
-    pub(crate) fn push_note(&mut self, note: HealthReport) {
-        let subject = |n: &HealthReport| -> (SocketAddr, SocketAddr) { (n.upstream, n.watcher) };
-        self.notes.retain(|item| subject(&item.value) != subject(&note));
-        let bytes = wire::encoded_bytes(&note);
-        self.notes.push(Item { value: note, sent: 0, bytes });
+    /// Queues a health report; replaces an older one by the same watcher on the same upstream.
+    pub(crate) fn push_health_report(&mut self, report: HealthReport) {
+        let key =
+            |other: &HealthReport| -> (SocketAddr, SocketAddr) { (other.upstream, other.watcher) };
+        self.health_reports.retain(|queued| key(&queued.value) != key(&report));
+        let bytes = wire::encoded_bytes(&report);
+        self.health_reports.push(Queued { value: report, transmissions: 0, bytes });
     }
 
-    /// Adds to `packet` what fits, least-sent first, and drops what was sent often enough.
+    /// Adds the updates that fit to `packet`, least-sent first, and drops those sent often enough.
+    ///
+    /// `peers` is the number of known peers.
     pub(crate) fn fill(&mut self, packet: &mut Packet, peers: usize) {
-        let repeats = REPEATS_BEYOND_LOG + usize::BITS - peers.leading_zeros();
-        // One byte for the protocol version; list lengths grow by at most two bytes each.
-        let mut left = MAX_PACKET_BYTES.saturating_sub(wire::encoded_bytes(packet) + 5);
-        // A suspect ping adds one update of its own after this.
-        left = left.saturating_sub(128);
-        // Each moment that a finding is not known may cost an upstream.
-        packet.findings = take(&mut self.findings, &mut left, repeats);
-        packet.notices = take(&mut self.notices, &mut left, repeats);
-        packet.members = take(&mut self.members, &mut left, repeats);
-        packet.health_reports = take(&mut self.notes, &mut left, repeats);
+        let max_transmissions = EXTRA_TRANSMISSIONS + usize::BITS - peers.leading_zeros();
+        // Reserved: one byte for the protocol version, and the growth of the list lengths, each by
+        // at most two bytes.
+        let mut bytes_left = MAX_PACKET_BYTES.saturating_sub(wire::encoded_bytes(packet) + 5);
+        // Reserved: a ping of a suspect adds one update afterwards.
+        bytes_left = bytes_left.saturating_sub(128);
+        // Findings come first: while a node lacks one, its request may crash another upstream.
+        packet.findings = take_fitting(&mut self.findings, &mut bytes_left, max_transmissions);
+        packet.notices = take_fitting(&mut self.notices, &mut bytes_left, max_transmissions);
+        packet.members = take_fitting(&mut self.members, &mut bytes_left, max_transmissions);
+        packet.health_reports =
+            take_fitting(&mut self.health_reports, &mut bytes_left, max_transmissions);
     }
 }
 
-/// Takes from `items` what fits into `left` bytes.
-fn take<T: Clone>(items: &mut Vec<Item<T>>, left: &mut usize, repeats: u32) -> Vec<T> {
-    items.sort_by_key(|item| item.sent);
-    let mut taken = Vec::new();
-    for item in items.iter_mut() {
-        if item.bytes > *left {
+/// Takes the updates that fit into `bytes_left`, least-sent first, and drops those sent
+/// `max_transmissions` times.
+fn take_fitting<T: Clone>(
+    queue: &mut Vec<Queued<T>>,
+    bytes_left: &mut usize,
+    max_transmissions: u32,
+) -> Vec<T> {
+    queue.sort_by_key(|queued| queued.transmissions);
+    let mut fitting = Vec::new();
+    for queued in queue.iter_mut() {
+        if queued.bytes > *bytes_left {
             break;
         }
-        *left -= item.bytes;
-        item.sent += 1;
-        taken.push(item.value.clone());
+        *bytes_left -= queued.bytes;
+        queued.transmissions += 1;
+        fitting.push(queued.value.clone());
     }
-    items.retain(|item| item.sent < repeats);
-    taken
+    queue.retain(|queued| queued.transmissions < max_transmissions);
+    fitting
 }
 
-/// Splits findings into the parts of packets from `sender`.
+/// Splits findings into lists that each fit one packet from `sender`.
 pub(crate) fn split_findings(sender: &Sender, findings: Vec<Finding>) -> Vec<Vec<Finding>> {
-    let room = MAX_PACKET_BYTES.saturating_sub(wire::encoded_bytes(sender) + 32);
+    let capacity = MAX_PACKET_BYTES.saturating_sub(wire::encoded_bytes(sender) + 32);
     let mut parts: Vec<Vec<Finding>> = Vec::new();
-    let mut left = 0;
+    let mut bytes_left = 0;
     for finding in findings {
         let bytes = wire::encoded_bytes(&finding);
-        if bytes > left {
+        if bytes > bytes_left {
             parts.push(Vec::new());
-            left = room;
+            bytes_left = capacity;
         }
-        left = left.saturating_sub(bytes);
-        parts.last_mut().expect("there is one by now").push(finding);
+        bytes_left = bytes_left.saturating_sub(bytes);
+        parts.last_mut().expect("a part was added for the first finding").push(finding);
     }
     parts
 }
 
-/// Splits a full state into the parts of packets from `sender`.
-pub(crate) fn split(
+/// Splits the full state into parts that each fit one packet from `sender`.
+pub(crate) fn split_state(
     sender: &Sender,
     members: Vec<MemberUpdate>,
-    notes: Vec<HealthReport>,
+    health_reports: Vec<HealthReport>,
 ) -> Vec<(Vec<MemberUpdate>, Vec<HealthReport>)> {
-    let room = MAX_PACKET_BYTES.saturating_sub(wire::encoded_bytes(sender) + 32);
+    let capacity = MAX_PACKET_BYTES.saturating_sub(wire::encoded_bytes(sender) + 32);
     let mut parts = vec![(Vec::new(), Vec::new())];
-    let mut left = room;
-    let mut make_room = |bytes: usize, parts: &mut Vec<(Vec<MemberUpdate>, Vec<HealthReport>)>| {
-        if bytes > left {
+    let mut bytes_left = capacity;
+    let mut reserve = |bytes: usize, parts: &mut Vec<(Vec<MemberUpdate>, Vec<HealthReport>)>| {
+        if bytes > bytes_left {
             parts.push((Vec::new(), Vec::new()));
-            left = room;
+            bytes_left = capacity;
         }
-        left = left.saturating_sub(bytes);
+        bytes_left = bytes_left.saturating_sub(bytes);
     };
     for member in members {
-        make_room(wire::encoded_bytes(&member), &mut parts);
-        parts.last_mut().expect("never empty").0.push(member);
+        reserve(wire::encoded_bytes(&member), &mut parts);
+        parts.last_mut().expect("parts is never empty").0.push(member);
     }
-    for note in notes {
-        make_room(wire::encoded_bytes(&note), &mut parts);
-        parts.last_mut().expect("never empty").1.push(note);
+    for report in health_reports {
+        reserve(wire::encoded_bytes(&report), &mut parts);
+        parts.last_mut().expect("parts is never empty").1.push(report);
     }
     parts
 }
--- a/crates/member/src/tests.rs
+++ b/crates/member/src/tests.rs
@@ -1,4 +1,4 @@
-//! Members against each other over a small fake network with loss, cuts and pauses.
+//! Tests of several [`Members`] on a simulated network with loss, cut links and paused nodes.
 
 mod findings;
 mod large;
@@ -31,23 +31,24 @@
     members: Members,
     running: bool,
     paused: bool,
-    /// Datagrams that came while paused: the socket buffer keeps them.
-    waiting: Vec<(SocketAddr, Packet)>,
-    heard: Vec<Event>,
-    /// What it knows of requests that crash upstreams.
-    ledger: quarantine::Ledger,
-    board: notice::Board,
+    /// Datagrams not handled yet: while the node is paused, its socket buffer keeps them.
+    inbox: Vec<(SocketAddr, Packet)>,
+    events_seen: Vec<Event>,
+    /// What the node knows about requests that crash upstreams.
+    quarantine: quarantine::Ledger,
+    backpressure: notice::Board,
 }
 
-struct Net {
+struct Network {
     start: Instant,
     now: Instant,
     nodes: Vec<Node>,
-    flying: Vec<(Instant, SocketAddr, SocketAddr, Packet)>,
-    cut: BTreeSet<(usize, usize)>,
-    loss: f64,
-    /// Share of packets that come once more, up to a second later: twice, and out of order.
-    echo: f64,
+    in_flight: Vec<(Instant, SocketAddr, SocketAddr, Packet)>,
+    cut_links: BTreeSet<(usize, usize)>,
+    loss_rate: f64,
+    /// Share of packets that are delivered a second time, up to a second late and thus out of
+    /// order.
+    duplicate_rate: f64,
     rng: SmallRng,
     packets: u64,
     bytes: u64,
@@ -55,22 +56,22 @@
     zones: usize,
 }
 
-impl Net {
-    fn new(count: usize, seed: u64) -> Net {
-        Net::in_zones(count, 1, seed)
+impl Network {
+    fn new(count: usize, seed: u64) -> Network {
+        Network::in_zones(count, 1, seed)
     }
 
-    /// `count` nodes, in turn in each of `zones` zones.
-    fn in_zones(count: usize, zones: usize, seed: u64) -> Net {
+    /// Creates `count` nodes, assigned to `zones` zones in turn.
+    fn in_zones(count: usize, zones: usize, seed: u64) -> Network {
         let start = Instant::now();
-        let mut net = Net {
+        let mut network = Network {
             start,
             now: start,
             nodes: Vec::new(),
-            flying: Vec::new(),
-            cut: BTreeSet::new(),
-            loss: 0.0,
-            echo: 0.0,
+            in_flight: Vec::new(),
+            cut_links: BTreeSet::new(),
+            loss_rate: 0.0,
+            duplicate_rate: 0.0,
             rng: SmallRng::seed_from_u64(seed),
             packets: 0,
             bytes: 0,
@@ -78,30 +79,30 @@
             zones,
         };
         for index in 0..count {
-            let node = net.fresh(index, count, 0);
-            net.nodes.push(node);
+            let node = network.new_node(index, count, 0);
+            network.nodes.push(node);
         }
-        net
+        network
     }
 
-    fn fresh(&mut self, index: usize, count: usize, incarnation: u64) -> Node {
+    fn new_node(&mut self, index: usize, count: usize, incarnation: u64) -> Node {
         let rng = SmallRng::seed_from_u64(self.rng.random());
         let mut members =
             Members::new(addr(index), self.zone(index), incarnation, Timing::default(), rng);
         members.set_listed((0..count).map(|i| (addr(i), self.zone(i))));
-        let (waiting, heard, ledger, board) = Default::default();
-        Node { members, running: true, paused: false, waiting, heard, ledger, board }
+        let (inbox, events_seen, quarantine, backpressure) = Default::default();
+        Node { members, running: true, paused: false, inbox, events_seen, quarantine, backpressure }
     }
 
     fn zone(&self, index: usize) -> SmolStr {
         format!("z{}", index % self.zones).into()
     }
 
-    /// Starts node `index` anew, with the time of day as incarnation unless it `stepped_back`.
+    /// Restarts node `index`. Its incarnation is the wall clock, or 0 if that has `stepped_back`.
     fn restart(&mut self, index: usize, stepped_back: bool) {
-        let time_of_day = (self.now - self.start).as_millis() as u64;
-        let incarnation = if stepped_back { 0 } else { time_of_day };
-        let node = self.fresh(index, self.nodes.len(), incarnation);
+        let wall_clock_ms = (self.now - self.start).as_millis() as u64;
+        let incarnation = if stepped_back { 0 } else { wall_clock_ms };
+        let node = self.new_node(index, self.nodes.len(), incarnation);
         self.nodes[index] = node;
     }
 
@@ -116,15 +117,15 @@
                 self.bytes_between_zones += bytes.len() as u64;
             }
             let link = (from.min(target), from.max(target));
-            if self.cut.contains(&link) {
+            if self.cut_links.contains(&link) {
                 continue;
             }
-            if self.rng.random_bool(self.echo) {
+            if self.rng.random_bool(self.duplicate_rate) {
                 let late = Duration::from_millis(self.rng.random_range(0..1_000));
-                self.flying.push((self.now + LATENCY + late, addr(from), to, packet.clone()));
+                self.in_flight.push((self.now + LATENCY + late, addr(from), to, packet.clone()));
             }
-            if !self.rng.random_bool(self.loss) {
-                self.flying.push((self.now + LATENCY, addr(from), to, packet));
+            if !self.rng.random_bool(self.loss_rate) {
+                self.in_flight.push((self.now + LATENCY, addr(from), to, packet));
             }
         }
     }
@@ -135,12 +136,12 @@
             self.now += STEP;
             let now = self.now;
             let (due, later): (Vec<_>, Vec<_>) =
-                self.flying.drain(..).partition(|(at, ..)| *at <= now);
-            self.flying = later;
+                self.in_flight.drain(..).partition(|(at, ..)| *at <= now);
+            self.in_flight = later;
             for (_, from, to, packet) in due {
                 let index = usize::from(to.port() - 7_000);
                 if self.nodes[index].running {
-                    self.nodes[index].waiting.push((from, packet));
+                    self.nodes[index].inbox.push((from, packet));
                 }
             }
             for index in 0..self.nodes.len() {
@@ -148,39 +149,41 @@
                     continue;
                 }
                 let mut out = Vec::new();
-                for (from, packet) in std::mem::take(&mut self.nodes[index].waiting) {
+                for (from, packet) in std::mem::take(&mut self.nodes[index].inbox) {
                     out.extend(self.nodes[index].members.receive(from, packet, now));
                 }
                 out.extend(self.nodes[index].members.tick(now));
                 let events = self.nodes[index].members.take_events();
-                out.extend(self.take_findings(index, &events));
-                out.extend(self.take_notices(index, &events));
-                self.nodes[index].heard.extend(events);
+                out.extend(self.merge_findings(index, &events));
+                out.extend(self.merge_notices(index, &events));
+                self.nodes[index].events_seen.extend(events);
                 self.send(index, out);
             }
         }
     }
 
-    /// Has a node take what it heard of requests that crash upstreams, and tell what is news.
-    fn take_findings(&mut self, index: usize, events: &[Event]) -> Vec<Outgoing> {
+    /// Makes a node merge the findings it received, and returns packets with what is new to it.
+    fn merge_findings(&mut self, index: usize, events: &[Event]) -> Vec<Outgoing> {
         let unix_ms = (self.now - self.start).as_millis() as u64;
-        let Node { members, ledger, .. } = &mut self.nodes[index];
+        let Node { members, quarantine, .. } = &mut self.nodes[index];
         let mut out = Vec::new();
         for event in events {
             match event {
                 Event::Finding(finding) => {
-                    ledger.hear(finding, unix_ms);
+                    quarantine.hear(finding, unix_ms);
                 }
-                Event::Differs { addr, held_digest } => {
-                    let known = ledger.to_tell_a_peer(*held_digest);
-                    out.extend(members.tell_all(*addr, known, self.now));
+                Event::DigestMismatch { addr, held_digest } => {
+                    let known = quarantine.to_tell_a_peer(*held_digest);
+                    out.extend(members.send_findings(*addr, known, self.now));
                 }
                 _ => {}
             }
         }
-        let news = ledger.take_news(unix_ms);
-        members.set_held_digest(ledger.digest());
-        out.extend(news.into_iter().flat_map(|news| members.spread(news)));
+        let new_findings = quarantine.take_news(unix_ms);
+        members.set_held_digest(quarantine.digest());
+        out.extend(
+            new_findings.into_iter().flat_map(|new_finding| members.broadcast_finding(new_finding)),
+        );
         out
     }
 
@@ -189,49 +192,53 @@
         notice::Moment { at: self.now, unix_ms }
     }
 
-    /// Has a node take what it heard of upstreams, and tell what is news.
-    fn take_notices(&mut self, index: usize, events: &[Event]) -> Vec<Outgoing> {
+    /// Makes a node merge the notices it received, and returns packets with what is new to it.
+    fn merge_notices(&mut self, index: usize, events: &[Event]) -> Vec<Outgoing> {
         let moment = self.moment();
-        let Node { members, board, .. } = &mut self.nodes[index];
+        let Node { members, backpressure, .. } = &mut self.nodes[index];
         for event in events {
             if let Event::Notice(notice) = event {
-                board.hear_peer(notice, moment);
+                backpressure.hear_peer(notice, moment);
             }
         }
-        board
+        backpressure
             .take_news()
             .into_iter()
-            .flat_map(|news| members.spread_notice(news, moment.at))
+            .flat_map(|new_notice| members.broadcast_notice(new_notice, moment.at))
             .collect()
     }
 
-    /// Returns what running node `at` believes of node `of`.
-    fn view(&self, at: usize, of: usize) -> Option<Standing> {
+    /// Returns the standing of node `of` as seen by node `at`.
+    fn standing_of(&self, at: usize, of: usize) -> Option<Standing> {
         self.nodes[at].members.standing(addr(of))
     }
 
-    /// Asserts that every running node believes each other node to be `expected(index)`.
-    fn assert_views(&self, expected: impl Fn(usize) -> &'static [Option<Standing>]) {
+    /// Asserts that every running node sees each other node `i` in one of the standings
+    /// `expected(i)`.
+    fn assert_standings(&self, expected: impl Fn(usize) -> &'static [Option<Standing>]) {
         for at in (0..self.nodes.len()).filter(|&i| self.nodes[i].running) {
             for of in (0..self.nodes.len()).filter(|&i| i != at) {
-                let view = self.view(at, of);
-                let t = self.now - self.start;
-                assert!(expected(of).contains(&view), "{at} believes {of} {view:?} at {t:?}");
+                let standing = self.standing_of(at, of);
+                let elapsed = self.now - self.start;
+                assert!(
+                    expected(of).contains(&standing),
+                    "node {at} sees {of} as {standing:?} after {elapsed:?}"
+                );
             }
         }
     }
 
-    fn bad_notes_heard(&self, at: usize) -> BTreeSet<(SocketAddr, Verdict)> {
-        let mut held = BTreeSet::new();
-        for event in &self.nodes[at].heard {
-            if let Event::Note(HealthReport { upstream, verdict, .. }) = event {
-                held.retain(|(u, _)| u != upstream);
+    fn unhealthy_reports_seen(&self, at: usize) -> BTreeSet<(SocketAddr, Verdict)> {
+        let mut unhealthy = BTreeSet::new();
+        for event in &self.nodes[at].events_seen {
+            if let Event::HealthReport(HealthReport { upstream, verdict, .. }) = event {
+                unhealthy.retain(|(u, _)| u != upstream);
                 if *verdict != Verdict::Healthy {
-                    held.insert((*upstream, *verdict));
+                    unhealthy.insert((*upstream, *verdict));
                 }
             }
         }
-        held
+        unhealthy
     }
 }
 
@@ -239,170 +246,160 @@
 const GONE: &[Option<Standing>] = &[Some(Standing::Dead), Some(Standing::Left), None];
 
 #[test]
-fn nodes_find_each_other_through_the_platforms_list() {
-    let mut net = Net::new(12, 1);
-    net.run(Duration::from_secs(6));
-    net.assert_views(|_| ALIVE);
+fn nodes_discover_each_other_through_the_platforms_list() {
+    let mut network = Network::new(12, 1);
+    network.run(Duration::from_secs(6));
+    network.assert_standings(|_| ALIVE);
 }
 
-/// Symptom: callers are sent to an entry node that is gone.
-/// Sequence: one node is killed without a word.
-/// Cause: trusting the platform's lagging list alone. The others must
-/// believe it dead within seconds, and only it.
+/// Guards against callers that are sent to an entry node that is gone, because the platform's list
+/// lags: when a node is killed, all others must declare it dead within seconds, and no other node.
 #[test]
 fn a_killed_node_is_declared_dead_everywhere() {
-    let mut net = Net::new(12, 2);
-    net.run(Duration::from_secs(6));
-    net.nodes[3].running = false;
-    // Worst case: 11 peers pinged in turn (5.5 s), a period, 3 s of suspicion, spreading.
-    net.run(Duration::from_secs(12));
-    net.assert_views(|of| if of == 3 { GONE } else { ALIVE });
+    let mut network = Network::new(12, 2);
+    network.run(Duration::from_secs(6));
+    network.nodes[3].running = false;
+    // Worst case: 11 peers pinged in turn (5.5 s), one interval, 3 s of suspicion, dissemination.
+    network.run(Duration::from_secs(12));
+    network.assert_standings(|of| if of == 3 { GONE } else { ALIVE });
 }
 
-/// Symptom: a node that was only paused stays dead to the others for good.
-/// Sequence: a node is paused past its suspicion, declared dead, and resumes.
-/// Cause: no way to refute: the higher incarnation must win everywhere.
+/// Guards against a node that stays dead to its peers after a pause: paused for longer than the
+/// suspicion timeout, it is declared dead, and after it resumes its higher incarnation must win
+/// everywhere.
 #[test]
 fn a_paused_node_refutes_its_death() {
-    let mut net = Net::new(8, 3);
-    net.run(Duration::from_secs(6));
-    net.nodes[2].paused = true;
-    net.run(Duration::from_secs(15));
-    assert_eq!(net.view(0, 2), Some(Standing::Dead));
-    net.nodes[2].paused = false;
-    net.run(Duration::from_secs(15));
-    net.assert_views(|_| ALIVE);
+    let mut network = Network::new(8, 3);
+    network.run(Duration::from_secs(6));
+    network.nodes[2].paused = true;
+    network.run(Duration::from_secs(15));
+    assert_eq!(network.standing_of(0, 2), Some(Standing::Dead));
+    network.nodes[2].paused = false;
+    network.run(Duration::from_secs(15));
+    network.assert_standings(|_| ALIVE);
 }
 
-/// Symptom: after a partition heals, each half keeps serving only its own half.
-/// Sequence: two halves are cut from each other until each believes the other
-/// dead; the cut ends.
-/// Cause: nobody pings a node believed dead, so no one talks first.
+/// Guards against halves that stay separate after a partition heals: each half has declared the
+/// other dead, and if no node pings a dead node, no node sends the first packet.
 #[test]
-fn a_healed_partition_becomes_whole_again() {
-    let mut net = Net::new(8, 4);
-    net.run(Duration::from_secs(6));
-    net.cut = (0..4).flat_map(|a| (4..8).map(move |b| (a, b))).collect();
-    net.run(Duration::from_secs(20));
-    assert_eq!(net.view(0, 7), Some(Standing::Dead));
-    net.cut.clear();
-    net.run(Duration::from_secs(30));
-    net.assert_views(|_| ALIVE);
+fn a_healed_partition_merges_again() {
+    let mut network = Network::new(8, 4);
+    network.run(Duration::from_secs(6));
+    network.cut_links = (0..4).flat_map(|a| (4..8).map(move |b| (a, b))).collect();
+    network.run(Duration::from_secs(20));
+    assert_eq!(network.standing_of(0, 7), Some(Standing::Dead));
+    network.cut_links.clear();
+    network.run(Duration::from_secs(30));
+    network.assert_standings(|_| ALIVE);
 }
 
-/// Symptom: for seconds after a planned stop callers are still sent to the node.
-/// Sequence: a node leaves by itself.
-/// Cause: leaving without telling: peers would only learn from missed pings.
+/// Guards against callers that are sent to a node for seconds after its planned stop: without an
+/// announcement, peers notice only by missed pings.
 #[test]
 fn a_leaving_node_is_known_to_have_left_at_once() {
-    let mut net = Net::new(8, 5);
-    net.run(Duration::from_secs(6));
-    let out = net.nodes[1].members.leave();
-    net.send(1, out);
-    net.nodes[1].running = false;
-    net.run(Duration::from_millis(100));
-    net.assert_views(|of| if of == 1 { &[Some(Standing::Left)] } else { ALIVE });
+    let mut network = Network::new(8, 5);
+    network.run(Duration::from_secs(6));
+    let out = network.nodes[1].members.leave();
+    network.send(1, out);
+    network.nodes[1].running = false;
+    network.run(Duration::from_millis(100));
+    network.assert_standings(|of| if of == 1 { &[Some(Standing::Left)] } else { ALIVE });
 }
 
-/// Symptom: a restarted node is ignored as dead by its peers.
-/// Sequence: a node is killed, declared dead, and started anew at its address
-/// with a lower incarnation (its time of day stepped back).
-/// Cause: news of its former death outranks its new life.
+/// Guards against a restarted node that its peers ignore as dead: it was declared dead, and starts
+/// again at the same address with a lower incarnation because its wall clock stepped back, so that
+/// the old update on its death overrides the new incarnation.
 #[test]
-fn a_restarted_node_is_taken_back() {
-    let mut net = Net::new(8, 6);
-    net.run(Duration::from_secs(6));
-    net.nodes[5].running = false;
-    net.run(Duration::from_secs(12));
-    net.assert_views(|of| if of == 5 { GONE } else { ALIVE });
-    net.restart(5, true);
-    net.run(Duration::from_secs(15));
-    net.assert_views(|_| ALIVE);
+fn a_restarted_node_is_alive_again() {
+    let mut network = Network::new(8, 6);
+    network.run(Duration::from_secs(6));
+    network.nodes[5].running = false;
+    network.run(Duration::from_secs(12));
+    network.assert_standings(|of| if of == 5 { GONE } else { ALIVE });
+    network.restart(5, true);
+    network.run(Duration::from_secs(15));
+    network.assert_standings(|_| ALIVE);
 }
 
-/// Symptom: one flaky link makes a healthy node look dead.
-/// Sequence: the link between two nodes is cut; both still reach the others.
-/// Cause: judging by the direct ping alone instead of asking helpers.
+/// Guards against a healthy node that is declared dead because one link fails: the link between two
+/// nodes is cut, but other nodes reach both, so that indirect pings succeed.
 #[test]
-fn one_cut_link_kills_nobody() {
-    let mut net = Net::new(8, 7);
-    net.run(Duration::from_secs(6));
-    net.cut = BTreeSet::from([(0, 1)]);
-    net.run(Duration::from_secs(60));
-    net.assert_views(|_| ALIVE);
-    for node in &net.nodes {
+fn one_cut_link_declares_no_node_dead() {
+    let mut network = Network::new(8, 7);
+    network.run(Duration::from_secs(6));
+    network.cut_links = BTreeSet::from([(0, 1)]);
+    network.run(Duration::from_secs(60));
+    network.assert_standings(|_| ALIVE);
+    for node in &network.nodes {
         let deaths = node
-            .heard
+            .events_seen
             .iter()
-            .filter(|e| matches!(e, Event::Peer { standing: Standing::Dead, .. }))
+            .filter(|e| matches!(e, Event::PeerChanged { standing: Standing::Dead, .. }))
             .count();
         assert_eq!(deaths, 0);
     }
 }
 
-/// Symptom: an upstream drains and only the node that probed it knows.
-/// Sequence: one node notes an upstream draining and another failing; later
-/// the failing one recovers; a node that starts afterwards must know too.
-/// Cause: what one watcher learns is not spread, or not given to newcomers.
+/// Guards against health reports that stay with the node that probed, or that new nodes do not
+/// receive: one node reports one upstream as draining and another as failing, the latter recovers,
+/// and then a node restarts.
 #[test]
-fn notes_reach_every_node_and_newcomers() {
-    let mut net = Net::new(10, 8);
-    net.run(Duration::from_secs(6));
-    let now = net.now;
-    net.nodes[0].members.set_note(upstream(1), Verdict::Draining, 100, now);
-    net.nodes[0].members.set_note(upstream(2), Verdict::Failing, 100, now);
-    net.run(Duration::from_secs(4));
+fn health_reports_reach_every_node_and_new_nodes() {
+    let mut network = Network::new(10, 8);
+    network.run(Duration::from_secs(6));
+    let now = network.now;
+    network.nodes[0].members.report_health(upstream(1), Verdict::Draining, 100, now);
+    network.nodes[0].members.report_health(upstream(2), Verdict::Failing, 100, now);
+    network.run(Duration::from_secs(4));
     let both = BTreeSet::from([(upstream(1), Verdict::Draining), (upstream(2), Verdict::Failing)]);
     for at in 1..10 {
-        assert_eq!(net.bad_notes_heard(at), both, "node {at}");
+        assert_eq!(network.unhealthy_reports_seen(at), both, "node {at}");
     }
-    let now = net.now;
-    net.nodes[0].members.set_note(upstream(2), Verdict::Healthy, 200, now);
-    net.run(Duration::from_secs(4));
-    net.restart(9, false);
-    net.run(Duration::from_secs(1));
+    let now = network.now;
+    network.nodes[0].members.report_health(upstream(2), Verdict::Healthy, 200, now);
+    network.run(Duration::from_secs(4));
+    network.restart(9, false);
+    network.run(Duration::from_secs(1));
     for at in 1..10 {
         let only_draining = BTreeSet::from([(upstream(1), Verdict::Draining)]);
-        assert_eq!(net.bad_notes_heard(at), only_draining, "node {at}");
+        assert_eq!(network.unhealthy_reports_seen(at), only_draining, "node {at}");
     }
 }
 
-/// Symptom: an upstream stays out of work for good although it is healthy.
-/// Sequence: a watcher notes it failing and dies; nobody is left to say that
-/// it recovered.
-/// Cause: bad notes that hold until withdrawn. They must lapse.
+/// Guards against a healthy upstream that stays out of use forever: its watcher reports it as
+/// failing and dies, so that no node is left to report its recovery. The report must expire.
 #[test]
-fn notes_of_a_dead_watcher_lapse() {
-    let mut net = Net::new(6, 9);
-    net.run(Duration::from_secs(6));
-    let now = net.now;
-    net.nodes[0].members.set_note(upstream(1), Verdict::Failing, 100, now);
-    net.run(Duration::from_secs(45));
-    assert_eq!(net.bad_notes_heard(3).len(), 1, "repeated while its watcher lives");
-    net.nodes[0].running = false;
-    net.run(Duration::from_secs(45));
+fn health_reports_of_a_dead_watcher_expire() {
+    let mut network = Network::new(6, 9);
+    network.run(Duration::from_secs(6));
+    let now = network.now;
+    network.nodes[0].members.report_health(upstream(1), Verdict::Failing, 100, now);
+    network.run(Duration::from_secs(45));
+    assert_eq!(network.unhealthy_reports_seen(3).len(), 1, "the watcher repeats it while it runs");
+    network.nodes[0].running = false;
+    network.run(Duration::from_secs(45));
     for at in 1..6 {
-        assert!(net.bad_notes_heard(at).is_empty(), "node {at}");
+        assert!(network.unhealthy_reports_seen(at).is_empty(), "node {at}");
     }
 }
 
-/// Symptom: what a node keeps of its peers grows with every VM ever replaced.
-/// Sequence: a node leaves, the platform's list drops it, time passes.
-/// Cause: peers kept for good, or dropped without telling who else keeps them.
+/// Guards against a peer table that grows with every replaced VM: a node that has left and is no
+/// longer on the platform's list must be removed, with an event for others that keep an entry for
+/// it.
 #[test]
-fn a_node_long_gone_is_forgotten() {
-    let mut net = Net::new(3, 11);
-    net.run(Duration::from_secs(6));
-    let out = net.nodes[2].members.leave();
-    net.send(2, out);
-    net.nodes[2].running = false;
-    net.nodes[0].members.set_listed([(addr(1), "z".into())]);
-    net.run(Duration::from_secs(1));
-    assert_eq!(net.view(0, 2), Some(Standing::Left));
-    net.now += Duration::from_secs(601);
-    net.run(Duration::from_secs(1));
-    assert_eq!(net.view(0, 2), None);
-    assert!(net.nodes[0].heard.contains(&Event::Forgotten { addr: addr(2) }));
+fn a_node_that_left_long_ago_is_removed() {
+    let mut network = Network::new(3, 11);
+    network.run(Duration::from_secs(6));
+    let out = network.nodes[2].members.leave();
+    network.send(2, out);
+    network.nodes[2].running = false;
+    network.nodes[0].members.set_listed([(addr(1), "z".into())]);
+    network.run(Duration::from_secs(1));
+    assert_eq!(network.standing_of(0, 2), Some(Standing::Left));
+    network.now += Duration::from_secs(601);
+    network.run(Duration::from_secs(1));
+    assert_eq!(network.standing_of(0, 2), None);
+    assert!(network.nodes[0].events_seen.contains(&Event::PeerRemoved { addr: addr(2) }));
 }
 
 #[derive(Clone, Debug)]
@@ -411,11 +408,11 @@
     Restart(usize, bool),
     Pause(usize),
     Resume(usize),
-    Cut(usize, usize),
-    Mend,
+    CutLink(usize, usize),
+    RestoreLinks,
     Loss(u8),
-    Echo(u8),
-    Note(u16, bool),
+    Duplicate(u8),
+    HealthReport(u16, bool),
 }
 
 const FUZZ_NODES: usize = 6;
@@ -424,14 +421,14 @@
     let node = 0..FUZZ_NODES;
     prop_oneof![
         node.clone().prop_map(Fault::Kill),
-        (node.clone(), any::<bool>()).prop_map(|(i, back)| Fault::Restart(i, back)),
+        (node.clone(), any::<bool>()).prop_map(|(i, stepped_back)| Fault::Restart(i, stepped_back)),
         node.clone().prop_map(Fault::Pause),
         node.clone().prop_map(Fault::Resume),
-        (node.clone(), node).prop_map(|(a, b)| Fault::Cut(a.min(b), a.max(b))),
-        Just(Fault::Mend),
+        (node.clone(), node).prop_map(|(a, b)| Fault::CutLink(a.min(b), a.max(b))),
+        Just(Fault::RestoreLinks),
         (0u8..40).prop_map(Fault::Loss),
-        (0u8..60).prop_map(Fault::Echo),
-        (1u16..4, any::<bool>()).prop_map(|(u, bad)| Fault::Note(u, bad)),
+        (0u8..60).prop_map(Fault::Duplicate),
+        (1u16..4, any::<bool>()).prop_map(|(port, failing)| Fault::HealthReport(port, failing)),
     ]
 }
 
@@ -443,86 +440,87 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: after a bad hour, nodes disagree for good on who is alive or
-    /// on what was noted of an upstream.
-    /// Sequence: any mix of kills, restarts, pauses, cuts, loss, packets that come twice and out of
-    /// order, and notes;
-    /// then the network is whole and nothing changes.
-    /// Cause: an update that loses to an older one, or is no longer spread.
+    /// Guards against nodes that permanently disagree on who is alive or on the health of an
+    /// upstream, because an update loses to an older one or is no longer sent. After any mix of
+    /// kills, restarts, pauses, cut links, loss, duplicate and reordered packets and health
+    /// reports, the network recovers and nothing changes any more.
     #[test]
-    fn views_agree_once_faults_end(
+    fn standings_and_health_reports_converge_after_faults(
         faults in prop::collection::vec((fault(), 0u64..6_000), 1..16),
         seed in any::<u64>(),
         zones in 1..=3usize,
     ) {
-        let mut net = Net::in_zones(FUZZ_NODES, zones, seed);
-        net.run(Duration::from_secs(6));
-        let mut noted = 1_000;
+        let mut network = Network::in_zones(FUZZ_NODES, zones, seed);
+        network.run(Duration::from_secs(6));
+        let mut report_unix_ms = 1_000;
         for (fault, wait_ms) in faults {
             match fault {
-                Fault::Kill(i) => net.nodes[i].running = false,
-                Fault::Restart(i, back) => net.restart(i, back),
-                Fault::Pause(i) => net.nodes[i].paused = true,
-                Fault::Resume(i) => net.nodes[i].paused = false,
-                Fault::Cut(a, b) => {
-                    net.cut.insert((a, b));
+                Fault::Kill(i) => network.nodes[i].running = false,
+                Fault::Restart(i, stepped_back) => network.restart(i, stepped_back),
+                Fault::Pause(i) => network.nodes[i].paused = true,
+                Fault::Resume(i) => network.nodes[i].paused = false,
+                Fault::CutLink(a, b) => {
+                    network.cut_links.insert((a, b));
                 }
-                Fault::Mend => net.cut.clear(),
-                Fault::Loss(percent) => net.loss = f64::from(percent) / 100.0,
-                Fault::Echo(percent) => net.echo = f64::from(percent) / 100.0,
-                Fault::Note(port, bad) if net.nodes[0].running => {
-                    let verdict = if bad { Verdict::Failing } else { Verdict::Healthy };
-                    noted += 1;
-                    let now = net.now;
-                    net.nodes[0].members.set_note(upstream(port), verdict, noted, now);
+                Fault::RestoreLinks => network.cut_links.clear(),
+                Fault::Loss(percent) => network.loss_rate = f64::from(percent) / 100.0,
+                Fault::Duplicate(percent) => network.duplicate_rate = f64::from(percent) / 100.0,
+                Fault::HealthReport(port, failing) if network.nodes[0].running => {
+                    let verdict = if failing { Verdict::Failing } else { Verdict::Healthy };
+                    report_unix_ms += 1;
+                    let now = network.now;
+                    network.nodes[0].members.report_health(upstream(port), verdict, report_unix_ms, now);
                 }
-                Fault::Note(..) => {}
+                Fault::HealthReport(..) => {}
             }
-            net.run(Duration::from_millis(wait_ms));
+            network.run(Duration::from_millis(wait_ms));
         }
-        net.cut.clear();
-        net.loss = 0.0;
-        net.echo = 0.0;
-        net.nodes.iter_mut().for_each(|n| n.paused = false);
-        // Longer than a note's time to live, so that repeats and lapses are done too.
-        net.run(Duration::from_secs(75));
-        let running: Vec<bool> = net.nodes.iter().map(|n| n.running).collect();
-        net.assert_views(|of| if running[of] { ALIVE } else { GONE });
-        let truth: BTreeSet<(SocketAddr, Verdict)> = match running[0] {
-            true => net.nodes[0].members.own_bad_notes(),
+        network.cut_links.clear();
+        network.loss_rate = 0.0;
+        network.duplicate_rate = 0.0;
+        network.nodes.iter_mut().for_each(|n| n.paused = false);
+        // Longer than the TTL of a health report, so that it has been repeated or has expired.
+        network.run(Duration::from_secs(75));
+        let running: Vec<bool> = network.nodes.iter().map(|n| n.running).collect();
+        network.assert_standings(|of| if running[of] { ALIVE } else { GONE });
+        let expected: BTreeSet<(SocketAddr, Verdict)> = match running[0] {
+            true => network.nodes[0].members.own_unhealthy_reports(),
             false => BTreeSet::new(),
         };
         for at in (1..FUZZ_NODES).filter(|&i| running[i]) {
-            prop_assert_eq!(&net.bad_notes_heard(at), &truth, "node {}", at);
+            prop_assert_eq!(&network.unhealthy_reports_seen(at), &expected, "node {}", at);
         }
     }
 }
 
 impl Members {
-    fn own_bad_notes(&self) -> BTreeSet<(SocketAddr, Verdict)> {
-        let own = self.notes.bad().into_iter().filter(|n| n.watcher == self.me.addr);
-        own.map(|n| (n.upstream, n.verdict)).collect()
+    fn own_unhealthy_reports(&self) -> BTreeSet<(SocketAddr, Verdict)> {
+        let own = self
+            .health_reports
+            .unhealthy()
+            .into_iter()
+            .filter(|report| report.watcher == self.local.addr);
+        own.map(|report| (report.upstream, report.verdict)).collect()
     }
 }
 
-/// Symptom: a zone's failure floods the links between entry nodes.
-/// Sequence: one node notes 700 upstreams failing at the same moment (a zone
-/// of letter 1 has 353 upstreams and two watchers each).
-/// Cause: packets that grow with the news. Each stays within its bound, and
-/// the news reaches everyone all the same.
+/// Guards against the failure of a zone flooding the links between entry nodes with packets that
+/// grow with the number of reports. One node reports 700 upstreams as failing at once: an
+/// availability zone of the users has 353 upstreams, each with two watchers. Packets stay within
+/// their maximum size, and every report still reaches every node.
 #[test]
-fn a_burst_of_notes_stays_within_packets_and_reaches_everyone() {
-    let mut net = Net::new(8, 10);
-    net.run(Duration::from_secs(6));
-    let now = net.now;
+fn a_burst_of_health_reports_stays_within_the_packet_size_and_reaches_every_node() {
+    let mut network = Network::new(8, 10);
+    network.run(Duration::from_secs(6));
+    let now = network.now;
     for port in 1..=700 {
-        net.nodes[0].members.set_note(upstream(port), Verdict::Failing, 100, now);
+        network.nodes[0].members.report_health(upstream(port), Verdict::Failing, 100, now);
     }
-    let (packets, bytes) = (net.packets, net.bytes);
-    net.run(Duration::from_secs(40));
-    let (packets, bytes) = (net.packets - packets, net.bytes - bytes);
+    let (packets, bytes) = (network.packets, network.bytes);
+    network.run(Duration::from_secs(40));
+    let (packets, bytes) = (network.packets - packets, network.bytes - bytes);
     for at in 1..8 {
-        assert_eq!(net.bad_notes_heard(at).len(), 700, "node {at}");
+        assert_eq!(network.unhealthy_reports_seen(at).len(), 700, "node {at}");
     }
     assert!(bytes <= packets * MAX_PACKET_BYTES as u64);
 }
--- a/crates/member/src/tests/findings.rs
+++ b/crates/member/src/tests/findings.rs
@@ -1,155 +1,163 @@
-//! How what is known of requests that crash upstreams comes to all nodes.
+//! Tests of the dissemination of findings to all nodes.
 
 use quarantine::{Content, Start};
 
 use super::*;
 
-/// Time in which all nodes must know that a request is held back.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+/// Time within which all nodes must quarantine a request.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// What a node may send for control, in bytes a second: a tenth of the 7 kB that all control may take.
-const CONTROL_BYTES_PER_S: u64 = 700;
+/// Maximum control traffic of a node for findings, in bytes per second: a tenth of the 7 kB that
+/// all control traffic may take.
+const MAX_FINDING_BYTES_PER_S: u64 = 700;
 
-/// Longest encoding of a digest, which each packet has.
-const DIGEST_BYTES: u64 = 10;
+/// Maximum encoded length of the digest in each packet.
+const MAX_DIGEST_BYTES: u64 = 10;
 
 fn content(n: u64) -> Content {
     Content::of([n.to_be_bytes().as_slice()])
 }
 
-impl Net {
-    /// Has nodes 0, 1 and 2 see one crash each under a request, one after the other.
-    fn crash_three(&mut self, request: u64) {
+impl Network {
+    /// Makes nodes 0, 1 and 2 each see one crash caused by a request, one after the other.
+    fn crash_three_upstreams(&mut self, request: u64) {
         for node in 0..3 {
             let unix_ms = (self.now - self.start).as_millis() as u64;
-            let ledger = &mut self.nodes[node].ledger;
-            let known = ledger.known(content(request));
+            let quarantine = &mut self.nodes[node].quarantine;
+            let known = quarantine.known(content(request));
             let start = Start::of("u", 10 * request + node as u64);
-            ledger.crashed(content(request), known, start, unix_ms);
+            quarantine.crashed(content(request), known, start, unix_ms);
             self.run(Duration::from_secs(1));
         }
     }
 
-    /// Returns how many running nodes hold back `count` requests.
-    fn holding(&self, count: usize) -> usize {
-        let holds = |node: &&Node| node.running && node.ledger.held().count() == count;
-        self.nodes.iter().filter(holds).count()
+    /// Returns the number of running nodes that quarantine `count` requests.
+    fn nodes_quarantining(&self, count: usize) -> usize {
+        let is_match = |node: &&Node| node.running && node.quarantine.held().count() == count;
+        self.nodes.iter().filter(is_match).count()
     }
 }
 
-/// Symptom: a request that crashed three upstreams goes on crashing others.
-/// Sequence: three nodes saw one crash each; a tenth of the packets is lost.
-/// Cause: nodes that go by their own crashes, or hear of others' late.
+/// Guards against a request that continues to crash upstreams after the first three: three nodes
+/// saw one crash each, a tenth of the packets is lost, and nodes go by their own crashes alone or
+/// learn of the others late.
 #[yare::parameterized(
     four = { 4, 1 },
     sixteen = { 16, 4 },
     three_hundred = { 312, 5 },
 )]
-fn three_crashes_that_three_nodes_saw_are_known_to_all(nodes: usize, zones: usize) {
-    let mut net = Net::in_zones(nodes, zones, 7);
-    net.run(Duration::from_secs(20));
-    net.loss = 0.1;
-    net.crash_three(1);
-    net.run(KNOWN_WITHIN - Duration::from_secs(1));
-    assert_eq!(net.holding(1), nodes);
+fn crashes_seen_by_three_nodes_quarantine_the_request_on_all(nodes: usize, zones: usize) {
+    let mut network = Network::in_zones(nodes, zones, 7);
+    network.run(Duration::from_secs(20));
+    network.loss_rate = 0.1;
+    network.crash_three_upstreams(1);
+    network.run(MAX_PROPAGATION_TIME - Duration::from_secs(1));
+    assert_eq!(network.nodes_quarantining(1), nodes);
 }
 
-/// Symptom: a node that was away sends on what all others hold back.
-/// Sequence: it was cut off, paused or not yet started while the others were told, and long after
-/// that it is back.
-/// Cause: news that is told for a while and never again.
+/// Guards against a node that forwards a request that all others quarantine: it was cut off, paused
+/// or stopped while the findings spread, and returns long after their last transmission.
 #[yare::parameterized(
-    cut_off = { |net: &mut Net| net.cut = (0..15).map(|other| (other, 15)).collect() },
-    paused = { |net: &mut Net| net.nodes[15].paused = true },
-    stopped = { |net: &mut Net| net.nodes[15].running = false },
+    cut_off = { |network: &mut Network| network.cut_links = (0..15).map(|other| (other, 15)).collect() },
+    paused = { |network: &mut Network| network.nodes[15].paused = true },
+    stopped = { |network: &mut Network| network.nodes[15].running = false },
 )]
-fn a_node_that_was_away_is_told_what_it_missed(goes_away: fn(&mut Net)) {
-    let mut net = Net::new(16, 3);
-    net.run(Duration::from_secs(5));
-    goes_away(&mut net);
-    net.crash_three(1);
-    net.crash_three(2);
-    net.run(Duration::from_secs(20));
-    assert_eq!(net.nodes[15].ledger.held().count(), 0);
-    net.cut.clear();
-    net.nodes[15].paused = false;
-    if !net.nodes[15].running {
-        net.restart(15, false);
+fn a_returning_node_receives_missed_findings(disconnect: fn(&mut Network)) {
+    let mut network = Network::new(16, 3);
+    network.run(Duration::from_secs(5));
+    disconnect(&mut network);
+    network.crash_three_upstreams(1);
+    network.crash_three_upstreams(2);
+    network.run(Duration::from_secs(20));
+    assert_eq!(network.nodes[15].quarantine.held().count(), 0);
+    network.cut_links.clear();
+    network.nodes[15].paused = false;
+    if !network.nodes[15].running {
+        network.restart(15, false);
     }
-    // A node that others hold for dead is taken back first.
-    net.run(2 * KNOWN_WITHIN);
-    assert_eq!(net.holding(2), 16);
+    // Peers that declared the node dead must see it alive again first.
+    network.run(2 * MAX_PROPAGATION_TIME);
+    assert_eq!(network.nodes_quarantining(2), 16);
 }
 
-/// Symptom: membership takes more bytes than all requests once something is held back.
-/// Sequence: nodes hold back the same for a minute.
-/// Cause: telling each other again and again what both know.
+/// Guards against membership traffic that exceeds the traffic of all requests once a request is
+/// quarantined: nodes that quarantine the same requests must not keep sending them to each other.
 #[test]
-fn what_all_know_is_not_told_again() {
+fn findings_known_to_all_nodes_are_not_sent_again() {
     let sent = |crashes: bool| {
-        let mut net = Net::new(16, 3);
-        net.run(Duration::from_secs(5));
+        let mut network = Network::new(16, 3);
+        network.run(Duration::from_secs(5));
         match crashes {
-            true => net.crash_three(1),
-            false => net.run(Duration::from_secs(3)),
+            true => network.crash_three_upstreams(1),
+            false => network.run(Duration::from_secs(3)),
         }
-        net.run(Duration::from_secs(20));
-        (net.bytes, net.packets) = (0, 0);
-        net.run(Duration::from_secs(20));
-        (net.bytes, net.packets)
+        network.run(Duration::from_secs(20));
+        (network.bytes, network.packets) = (0, 0);
+        network.run(Duration::from_secs(20));
+        (network.bytes, network.packets)
     };
-    let ((bytes, packets), (with, packets_with)) = (sent(false), sent(true));
-    assert_eq!(packets, packets_with);
-    assert!(with - bytes <= DIGEST_BYTES * packets, "{with} bytes instead of {bytes}");
+    let ((bytes, packets), (bytes_with_crashes, packets_with_crashes)) = (sent(false), sent(true));
+    assert_eq!(packets, packets_with_crashes);
+    assert!(
+        bytes_with_crashes - bytes <= MAX_DIGEST_BYTES * packets,
+        "{bytes_with_crashes} bytes with a quarantined request, {bytes} without"
+    );
 }
 
-/// Symptom: an operator's word or an answer clears a request on some nodes only.
-/// Sequence: it is cleared on one node while another is cut off.
-/// Cause: clearances that are told once.
+/// Guards against a request that an operator or a response clears on some nodes only: it is cleared
+/// on one node while another is cut off, and clearances are sent only once.
 #[test]
 fn a_clearance_reaches_all_nodes() {
-    let mut net = Net::new(16, 3);
-    net.run(Duration::from_secs(5));
-    net.crash_three(1);
-    net.run(KNOWN_WITHIN);
-    assert_eq!(net.holding(1), 16);
-    net.cut = (0..15).map(|other| (other, 15)).collect();
-    let unix_ms = (net.now - net.start).as_millis() as u64;
-    assert!(net.nodes[4].ledger.clear(content(1), unix_ms));
-    net.run(Duration::from_secs(20));
-    assert_eq!(net.holding(1), 1, "the one that is cut off");
-    net.cut.clear();
-    net.run(2 * KNOWN_WITHIN);
-    assert_eq!(net.holding(0), 16);
+    let mut network = Network::new(16, 3);
+    network.run(Duration::from_secs(5));
+    network.crash_three_upstreams(1);
+    network.run(MAX_PROPAGATION_TIME);
+    assert_eq!(network.nodes_quarantining(1), 16);
+    network.cut_links = (0..15).map(|other| (other, 15)).collect();
+    let unix_ms = (network.now - network.start).as_millis() as u64;
+    assert!(network.nodes[4].quarantine.clear(content(1), unix_ms));
+    network.run(Duration::from_secs(20));
+    assert_eq!(network.nodes_quarantining(1), 1, "the node that is cut off");
+    network.cut_links.clear();
+    network.run(2 * MAX_PROPAGATION_TIME);
+    assert_eq!(network.nodes_quarantining(0), 16);
 }
 
-/// Symptom: a fleet of hundreds does nothing but tell its nodes of requests, for minutes.
-/// Sequence: half of the upstreams end at once; each node has lost a few requests, each of them another.
-/// Cause: telling all of them. There are more than a node keeps: each that is pushed out is news again when
-/// the next peer tells it, and is passed on anew. What upstreams did by themselves need not be told at all.
+/// Guards against a fleet of hundreds of nodes that exchanges findings for minutes. Half of the
+/// upstreams end at once, and each node loses a few requests, different from those of other nodes.
+/// If all are sent, there are more than a node keeps: each evicted one is new again when the next
+/// peer sends it, and is forwarded again. Upstreams that end by themselves need no findings.
 #[test]
-fn an_end_of_many_upstreams_is_not_told_request_by_request() {
-    let mut net = Net::in_zones(312, 5, 11);
-    net.run(Duration::from_secs(40));
-    let at_rest = {
-        net.bytes = 0;
-        net.run(Duration::from_secs(10));
-        net.bytes
+fn the_end_of_many_upstreams_causes_little_control_traffic() {
+    let mut network = Network::in_zones(312, 5, 11);
+    network.run(Duration::from_secs(40));
+    let idle_bytes = {
+        network.bytes = 0;
+        network.run(Duration::from_secs(10));
+        network.bytes
     };
-    net.bytes = 0;
+    network.bytes = 0;
     for node in 0..312 {
-        let unix_ms = (net.now - net.start).as_millis() as u64;
-        for lost in 0..4 {
-            let (request, start) = (1_000 + 4 * node + lost, (7 * node + lost) % 160);
-            let ledger = &mut net.nodes[node as usize].ledger;
-            let known = ledger.known(content(request));
-            ledger.crashed(content(request), known, Start::of("u", start), unix_ms);
+        let unix_ms = (network.now - network.start).as_millis() as u64;
+        for request_index in 0..4 {
+            let (request, start) =
+                (1_000 + 4 * node + request_index, (7 * node + request_index) % 160);
+            let quarantine = &mut network.nodes[node as usize].quarantine;
+            let known = quarantine.known(content(request));
+            quarantine.crashed(content(request), known, Start::of("u", start), unix_ms);
         }
     }
-    net.run(Duration::from_secs(10));
-    let per_node_s = (net.bytes - at_rest) / 312 / 10;
-    assert!(per_node_s < CONTROL_BYTES_PER_S, "{per_node_s} B/s a node more than at rest");
-    net.bytes = 0;
-    net.run(Duration::from_secs(10));
-    assert!(net.bytes < 2 * at_rest, "{} B in ten seconds, {at_rest} at rest", net.bytes);
+    network.run(Duration::from_secs(10));
+    let extra_per_node_s = (network.bytes - idle_bytes) / 312 / 10;
+    assert!(
+        extra_per_node_s < MAX_FINDING_BYTES_PER_S,
+        "{extra_per_node_s} B/s per node more than idle"
+    );
+    network.bytes = 0;
+    network.run(Duration::from_secs(10));
+    assert!(
+        network.bytes < 2 * idle_bytes,
+        "{} B in ten seconds, {idle_bytes} while idle",
+        network.bytes
+    );
 }
--- a/crates/member/src/tests/notices.rs
+++ b/crates/member/src/tests/notices.rs
@@ -1,105 +1,118 @@
-//! How what upstreams state about themselves comes to all nodes.
+//! Tests of the dissemination of notices to all nodes.
 
 use notice::{Field, Stated};
 use quarantine::Start;
 
 use super::*;
 
-/// Time in which all nodes must know what one was told.
-const KNOWN_WITHIN: Duration = Duration::from_secs(1);
+/// Time within which a notice must reach all nodes.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// What a node may send for control, in bytes a second: a tenth of the 7 kB that all control may take.
-const CONTROL_BYTES_PER_S: u64 = 700;
+/// Maximum control traffic of a node for notices, in bytes per second: a tenth of the 7 kB that all
+/// control traffic may take.
+const MAX_NOTICE_BYTES_PER_S: u64 = 700;
 
 fn start() -> Start {
     Start::of("u", 1)
 }
 
-fn leaves() -> Stated {
+fn leaving_signals() -> Stated {
     Stated { leaving: Field::Named(true), ..Stated::default() }
 }
 
-fn names_a_limit() -> Stated {
+fn limit_signals() -> Stated {
     Stated { limit: Field::Named(1_000), ..Stated::default() }
 }
 
-impl Net {
-    /// Has a node hear an answer; `asked` tells whether it was asked for just before.
-    fn hear(&mut self, node: usize, stated: &Stated, asked: bool) {
-        let (moment, asked_at) = (self.moment(), asked.then_some(self.now));
-        self.nodes[node].board.hear(start(), stated, asked_at, moment);
+impl Network {
+    /// Makes a node receive a response; `requested` tells whether it had just sent the request.
+    fn receive_response(&mut self, node: usize, signals: &Stated, requested: bool) {
+        let (moment, requested_at) = (self.moment(), requested.then_some(self.now));
+        self.nodes[node].backpressure.hear(start(), signals, requested_at, moment);
     }
 
-    fn count(&self, holds: impl Fn(&notice::Board) -> bool) -> usize {
-        self.nodes.iter().filter(|node| holds(&node.board)).count()
+    fn count(&self, is_match: impl Fn(&notice::Board) -> bool) -> usize {
+        self.nodes.iter().filter(|node| is_match(&node.backpressure)).count()
     }
 }
 
-/// Guards against nodes that each have to be told by the upstream itself.
+/// Guards against notices that each node only receives from the upstream itself.
 #[yare::parameterized(
     four = { 4, 1 },
     sixteen = { 16, 4 },
     three_hundred = { 312, 5 },
 )]
-fn what_one_node_was_told_is_known_to_all(nodes: usize, zones: usize) {
-    let mut net = Net::in_zones(nodes, zones, 7);
-    net.run(Duration::from_secs(20));
-    net.loss = 0.1;
-    net.hear(0, &leaves(), false);
-    net.hear(nodes - 1, &names_a_limit(), false);
-    net.run(KNOWN_WITHIN);
-    let now = net.now;
-    assert_eq!(net.count(|board| board.is_leaving(start(), now)), nodes);
-    assert_eq!(net.count(|board| board.limited_count(now) == 1), nodes);
-    net.hear(1, &Stated::default(), true);
-    net.run(KNOWN_WITHIN);
-    let now = net.now;
-    assert_eq!(net.count(|board| board.limited_count(now) == 0), nodes);
-    assert_eq!(net.count(|board| board.is_leaving(start(), now)), nodes, "that does not end");
+fn a_notice_received_by_one_node_reaches_all(nodes: usize, zones: usize) {
+    let mut network = Network::in_zones(nodes, zones, 7);
+    network.run(Duration::from_secs(20));
+    network.loss_rate = 0.1;
+    network.receive_response(0, &leaving_signals(), false);
+    network.receive_response(nodes - 1, &limit_signals(), false);
+    network.run(MAX_PROPAGATION_TIME);
+    let now = network.now;
+    assert_eq!(network.count(|backpressure| backpressure.is_leaving(start(), now)), nodes);
+    assert_eq!(network.count(|backpressure| backpressure.limited_count(now) == 1), nodes);
+    network.receive_response(1, &Stated::default(), true);
+    network.run(MAX_PROPAGATION_TIME);
+    let now = network.now;
+    assert_eq!(network.count(|backpressure| backpressure.limited_count(now) == 0), nodes);
+    assert_eq!(
+        network.count(|backpressure| backpressure.is_leaving(start(), now)),
+        nodes,
+        "leaving does not end"
+    );
 }
 
-/// Guards against limits that cost more to tell than they save: all owners hear of them all the time.
+/// Guards against limits whose dissemination costs more than they save, because all owners receive
+/// them all the time.
 #[test]
-fn a_limit_that_stands_costs_little_and_does_not_lapse() {
+fn a_standing_limit_costs_little_traffic_and_does_not_expire() {
     const NODES: usize = 105;
-    let mut net = Net::in_zones(NODES, 5, 7);
-    net.run(Duration::from_secs(30));
-    let quiet_bytes = {
-        net.bytes = 0;
-        net.run(Duration::from_secs(40));
-        net.bytes
+    let mut network = Network::in_zones(NODES, 5, 7);
+    network.run(Duration::from_secs(30));
+    let idle_bytes = {
+        network.bytes = 0;
+        network.run(Duration::from_secs(40));
+        network.bytes
     };
-    net.bytes = 0;
+    network.bytes = 0;
     for _ in 0..40 {
-        [3, 8].into_iter().for_each(|owner| net.hear(owner, &names_a_limit(), false));
-        net.run(Duration::from_secs(1));
+        [3, 8]
+            .into_iter()
+            .for_each(|owner| network.receive_response(owner, &limit_signals(), false));
+        network.run(Duration::from_secs(1));
     }
-    let now = net.now;
-    assert_eq!(net.count(|board| board.limited_count(now) == 1), NODES);
-    let more = net.bytes.saturating_sub(quiet_bytes) / (40 * NODES as u64);
-    assert!(more <= CONTROL_BYTES_PER_S, "{more} bytes a second and node");
+    let now = network.now;
+    assert_eq!(network.count(|backpressure| backpressure.limited_count(now) == 1), NODES);
+    let extra_per_node_s = network.bytes.saturating_sub(idle_bytes) / (40 * NODES as u64);
+    assert!(
+        extra_per_node_s <= MAX_NOTICE_BYTES_PER_S,
+        "{extra_per_node_s} bytes per second and node"
+    );
 }
 
-/// Guards against hundreds of upstreams that leave at once, each told by every node to four others.
+/// Guards against a flood of packets when hundreds of upstreams leave at once and every node sends
+/// each notice to four peers.
 #[test]
-fn a_zone_that_leaves_at_once_is_told_of_within_the_means_of_a_node() {
+fn a_zone_that_leaves_at_once_stays_within_the_control_traffic_limit() {
     const NODES: usize = 105;
     const UPSTREAMS: u64 = 400;
-    /// What all control of a node may send in a second, in bytes.
-    const BYTES_MOST: u64 = 7_000;
-    let mut net = Net::in_zones(NODES, 5, 7);
-    net.run(Duration::from_secs(30));
-    net.bytes = 0;
-    let moment = net.moment();
+    /// Maximum control traffic of a node, in bytes per second.
+    const MAX_CONTROL_BYTES_PER_S: u64 = 7_000;
+    let mut network = Network::in_zones(NODES, 5, 7);
+    network.run(Duration::from_secs(30));
+    network.bytes = 0;
+    let moment = network.moment();
     for n in 0..UPSTREAMS {
-        let node = &mut net.nodes[(n % 5) as usize];
-        node.board.hear(Start::of("u", n), &leaves(), None, moment);
+        let node = &mut network.nodes[(n % 5) as usize];
+        node.backpressure.hear(Start::of("u", n), &leaving_signals(), None, moment);
     }
-    net.run(Duration::from_secs(1));
-    let bytes = net.bytes / NODES as u64;
-    assert!(bytes <= BYTES_MOST, "{bytes} bytes a node in the first second");
-    net.run(Duration::from_secs(29));
-    let now = net.now;
-    let all_known = |board: &notice::Board| board.leaving_count(now) == UPSTREAMS as usize;
-    assert_eq!(net.count(all_known), NODES);
+    network.run(Duration::from_secs(1));
+    let bytes = network.bytes / NODES as u64;
+    assert!(bytes <= MAX_CONTROL_BYTES_PER_S, "{bytes} bytes per node in the first second");
+    network.run(Duration::from_secs(29));
+    let now = network.now;
+    let knows_all =
+        |backpressure: &notice::Board| backpressure.leaving_count(now) == UPSTREAMS as usize;
+    assert_eq!(network.count(knows_all), NODES);
 }
--- a/crates/oatcoved/src/gossip.rs
+++ b/crates/oatcoved/src/gossip.rs
@@ -70,9 +70,9 @@
         let mut out = handle(&mut members, &view, input, now);
         for event in members.take_events() {
             match event {
-                member::Event::Differs { addr, held_digest } => {
+                member::Event::DigestMismatch { addr, held_digest } => {
                     let known = view.borrow().quarantine.to_tell_a_peer(held_digest);
-                    out.extend(members.tell_all(addr, known, now));
+                    out.extend(members.send_findings(addr, known, now));
                 }
                 event => apply(&mut view.borrow_mut(), event),
             }
@@ -100,7 +100,7 @@
     ledger.expire(now);
     let news = ledger.take_news(now);
     members.set_held_digest(ledger.digest());
-    news.into_iter().flat_map(|news| members.spread(news)).collect()
+    news.into_iter().flat_map(|news| members.broadcast_finding(news)).collect()
 }
 
 /// Tells peers what is news of what upstreams state about themselves.
@@ -111,7 +111,7 @@
     let now = Instant::now();
     notices.expire(now);
     let news = notices.take_news();
-    news.into_iter().flat_map(|news| members.spread_notice(news, now)).collect()
+    news.into_iter().flat_map(|news| members.broadcast_notice(news, now)).collect()
 }
 
 fn handle(
@@ -139,7 +139,7 @@
             Vec::new()
         }
         Input::Verdict(upstream, verdict) => {
-            members.set_note(upstream, verdict, unix_ms(), now);
+            members.report_health(upstream, verdict, unix_ms(), now);
             Vec::new()
         }
         Input::ConfigHead(head) => {
@@ -153,7 +153,7 @@
 /// Applies what the membership learned to the view.
 pub fn apply(view: &mut View, event: member::Event) {
     match event {
-        member::Event::Peer { addr, zone, standing } => {
+        member::Event::PeerChanged { addr, zone, standing } => {
             log::info!(
                 "node={} zone={} peer={addr} peer_zone={zone} is {standing:?}",
                 view.settings.node_id,
@@ -164,21 +164,21 @@
             peer.standing = Some(standing);
             view.notices.nodes_changed();
         }
-        member::Event::Forgotten { addr } => {
+        member::Event::PeerRemoved { addr } => {
             view.peers.remove(&addr);
             view.notices.nodes_changed();
         }
-        member::Event::Heads { addr, config_head, list_head: _ } => {
+        member::Event::PeerHeads { addr, config_head, list_head: _ } => {
             view.peers.entry(addr).or_default().config_head = config_head;
         }
-        member::Event::Note(note) => view.report(note.upstream, note.watcher, note.verdict),
+        member::Event::HealthReport(note) => view.report(note.upstream, note.watcher, note.verdict),
         member::Event::Finding(finding) => {
             view.quarantine.hear(&finding, unix_ms());
         }
         member::Event::Notice(notice) => {
             view.hear_peer_notice(&notice);
         }
-        member::Event::Differs { .. } => {}
+        member::Event::DigestMismatch { .. } => {}
     }
 }
 
