--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -1,10 +1,10 @@
-//! Keeps at the platform which requests are held back.
+//! Stores quarantined requests at the platform.
 //!
-//! What only nodes know is gone once all of them are restarted at the same moment, and the request
-//! would crash upstreams anew. The node that is first among those that serve writes each such
-//! request to the platform, and while there is one it waits there for an operator's word that lifts
-//! it. After a restart of all nodes that node reads what is kept, and the others hear of it from it.
-//! While nothing is held back, no other call is made.
+//! Findings that only nodes have are lost when all nodes are restarted at the same moment, and the
+//! request would crash upstreams again. The first by address among the nodes that serve writes
+//! each such finding to the platform, and while there is one it waits there for an operator to
+//! lift it. After a restart of all nodes that node reads the stored findings, and the others get
+//! them from it. While no request is quarantined, no other call is made.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -22,186 +22,198 @@
 use crate::state::State;
 use crate::unix_ms;
 
-/// How often a node looks whether there is something for it to do.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which a node checks whether it has something to do.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time from its start after which a node knows its peers: sooner each would take itself for the first.
-/// Within the three seconds after its start in which nothing is asked of it.
-const SETTLED: Duration = Duration::from_millis(1_500);
+/// Time from its start after which a node knows its peers: before that each would consider itself
+/// the first. Shorter than the three seconds after its start in which nothing is required of a
+/// node.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 
-/// Longest time that one wait for an operator's word lasts. Where its connection goes silent, the word is
-/// not heard of before.
-const WAIT: Duration = Duration::from_secs(5);
+/// Maximum duration of one long poll for an operator's decision. If its connection goes silent,
+/// the decision is not seen earlier.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a failed call, and after several: each is paid for, refused ones too.
-const RETRY: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(30));
+/// Backoff after failed calls: initial and maximum. Each call is paid for, including rejected
+/// ones.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(30));
 
-/// A finding as it is kept, and who wrote it.
+/// A finding as it is stored, and who wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
-    /// What was found.
+    /// The finding.
     pub finding: Finding,
     /// The entry node that wrote it, or the operator who lifted it.
     pub written_by: SmolStr,
-    /// When it was written.
+    /// Unix time in milliseconds when it was written.
     pub at_unix_ms: u64,
     /// Why an operator lifted it; nodes give no reason.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub why: Option<String>,
 }
 
-/// A finding that is kept.
+/// A stored finding.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
-    /// What is kept.
+pub struct StoredHold {
+    /// The stored value.
     pub hold: Hold,
     /// The change that last wrote it.
     pub written_at: Cursor,
 }
 
-/// Findings that are kept, as of a moment.
+/// Stored findings as of a moment.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     /// The findings that were read.
-    pub kept: Vec<Kept>,
-    /// Where to wait for changes from.
+    pub holds: Vec<StoredHold>,
+    /// The position to wait for changes from.
     pub cursor: Cursor,
 }
 
-/// Where findings are kept.
+/// Storage of findings.
 pub trait Holds: 'static {
-    /// Reads all of them.
+    /// Reads all findings.
     fn all(&self) -> impl Future<Output = Result<Batch, SourceError>>;
 
-    /// Waits up to `wait` for those that changed after `cursor`.
+    /// Waits up to `wait` for findings that changed after `cursor`.
     fn changes(
         &self,
         cursor: Cursor,
         wait: Duration,
     ) -> impl Future<Output = Result<Batch, SourceError>>;
 
-    /// Writes one in place of what was written at `over`, or of nothing if that is 0; false when
-    /// something else is there by now. The word of an operator is written with its audit record.
-    fn keep(&self, hold: &Hold, over: Cursor) -> impl Future<Output = Result<bool, SourceError>>;
+    /// Writes a finding in place of the one written at `expected`, or of none if that is 0;
+    /// returns false if something else is stored by now. An operator's decision is written with
+    /// its audit record.
+    fn save(
+        &self,
+        hold: &Hold,
+        expected: Cursor,
+    ) -> impl Future<Output = Result<bool, SourceError>>;
 }
 
-/// For how long an operator's word is remembered, to be written again if the platform comes back from a
-/// copy that lacks it: such copies are some seconds old.
-const WORDS_FOR: Duration = Duration::from_secs(60);
+/// Time for which an operator's decision is remembered, to be written again if the platform is
+/// restored from a copy without it: such copies are some seconds old.
+const OPERATOR_HOLD_TTL: Duration = Duration::from_secs(60);
 
-/// What this node knows of what is kept.
+/// What this node knows of the stored findings.
 #[derive(Default)]
-struct Known {
-    rows: HashMap<ContentKey, Kept>,
+struct StoredHolds {
+    rows: HashMap<ContentKey, StoredHold>,
     cursor: Cursor,
-    /// What operators wrote of late, and when this node read it.
-    words: HashMap<ContentKey, (Hold, Instant)>,
+    /// What operators wrote recently, and when this node read it.
+    operator_holds: HashMap<ContentKey, (Hold, Instant)>,
 }
 
-impl Known {
-    /// Returns what is still known when all that is kept has to be read again.
-    fn to_be_read(&self) -> Known {
-        let is_recent = |(_, (_, at)): &(&ContentKey, &(Hold, Instant))| at.elapsed() < WORDS_FOR;
-        let words = self.words.iter().filter(is_recent);
-        let words = words.map(|(content, word)| (*content, word.clone())).collect();
-        Known { words, ..Known::default() }
+impl StoredHolds {
+    /// Returns what remains known when all stored findings have to be read again.
+    fn for_reread(&self) -> StoredHolds {
+        let is_recent =
+            |(_, (_, at)): &(&ContentKey, &(Hold, Instant))| at.elapsed() < OPERATOR_HOLD_TTL;
+        let operator_holds = self.operator_holds.iter().filter(is_recent);
+        let operator_holds =
+            operator_holds.map(|(content, decision)| (*content, decision.clone())).collect();
+        StoredHolds { operator_holds, ..StoredHolds::default() }
     }
 
-    fn take(&mut self, node: &Node, batch: Batch) {
+    fn apply(&mut self, node: &Node, batch: Batch) {
         self.cursor = self.cursor.max(batch.cursor);
-        for kept in batch.kept {
-            node.hear_finding(&kept.hold.finding, "the platform");
-            if kept.hold.why.is_some() {
-                let word = (kept.hold.clone(), Instant::now());
-                self.words.insert(kept.hold.finding.content, word);
+        for entry in batch.holds {
+            node.hear_finding(&entry.hold.finding, "the platform");
+            if entry.hold.why.is_some() {
+                let decision = (entry.hold.clone(), Instant::now());
+                self.operator_holds.insert(entry.hold.finding.content, decision);
             }
-            self.rows.insert(kept.hold.finding.content, kept);
+            self.rows.insert(entry.hold.finding.content, entry);
         }
         node.wake_gossip();
     }
 
-    /// Returns the next finding that this node has to write, and over which version.
-    fn due(&self, node: &Node) -> Option<(Hold, Cursor)> {
+    /// Returns the next finding that this node has to write, and the position of the one it
+    /// replaces.
+    fn next_due(&self, node: &Node) -> Option<(Hold, Cursor)> {
         let state = node.state.borrow();
-        if !is_keeper(&state) {
+        if !is_writer(&state) {
             return None;
         }
-        if let Some(word) = self.lost_word() {
-            return Some(word);
+        if let Some(decision) = self.lost_operator_hold() {
+            return Some(decision);
         }
         let is_due = |finding: &&Finding| match self.rows.get(&finding.content) {
-            Some(kept) => {
-                let kept = &kept.hold.finding;
-                kept.epoch < finding.epoch || kept.is_quarantined() != finding.is_quarantined()
+            Some(entry) => {
+                let entry = &entry.hold.finding;
+                entry.epoch < finding.epoch || entry.is_quarantined() != finding.is_quarantined()
             }
             None => state.quarantine.is_quarantined(finding.content),
         };
         let finding = state.quarantine.all().find(is_due)?.clone();
-        let over = self.rows.get(&finding.content).map_or(0, |kept| kept.written_at);
+        let expected = self.rows.get(&finding.content).map_or(0, |entry| entry.written_at);
         let written_by = state.settings.node_id.clone();
-        Some((Hold { finding, written_by, at_unix_ms: unix_ms(), why: None }, over))
+        Some((Hold { finding, written_by, at_unix_ms: unix_ms(), why: None }, expected))
     }
 
-    /// Returns an operator's word that is not kept any more, and over what it is to be written.
-    fn lost_word(&self) -> Option<(Hold, Cursor)> {
-        let (word, row) = self.words.iter().find_map(|(content, (word, _))| {
+    /// Returns an operator's decision that is no longer stored, and the position of what it
+    /// replaces.
+    fn lost_operator_hold(&self) -> Option<(Hold, Cursor)> {
+        let (decision, row) = self.operator_holds.iter().find_map(|(content, (decision, _))| {
             let row = self.rows.get(content);
-            let is_lost = row.is_none_or(|row| row.hold.finding.epoch < word.finding.epoch);
-            is_lost.then_some((word, row))
+            let is_lost = row.is_none_or(|row| row.hold.finding.epoch < decision.finding.epoch);
+            is_lost.then_some((decision, row))
         })?;
-        Some((word.clone(), row.map_or(0, |row| row.written_at)))
+        Some((decision.clone(), row.map_or(0, |row| row.written_at)))
     }
 }
 
-/// Returns true when this node is the one that writes findings and waits for an operator's word.
-fn is_keeper(state: &State) -> bool {
+/// Returns true if this node is the one that writes findings and waits for operators' decisions.
+fn is_writer(state: &State) -> bool {
     record::is_recorder(state, Duration::ZERO) && !state.roster.store_is_unreachable()
 }
 
-/// Returns true when a node that was restarted must read what is kept, since it is the one that keeps
-/// it: the others may have been restarted at the same moment.
-fn reads_at_start(state: &State) -> bool {
-    let is_settled = state.started_at.elapsed() >= SETTLED;
-    !state.settings.first_start && is_settled && is_keeper(state)
+/// Returns true if a restarted node must read the stored findings, since it is the one that writes
+/// them: all other nodes may have been restarted at the same moment.
+fn must_read_at_start(state: &State) -> bool {
+    let is_settled = state.started_at.elapsed() >= PEER_DISCOVERY_TIME;
+    !state.settings.first_start && is_settled && is_writer(state)
 }
 
-/// Keeps findings forever.
+/// Stores findings forever.
 pub async fn run<H: Holds>(holds: H, node: Rc<Node>) {
-    let mut known: Option<Known> = None;
-    let mut pause = RETRY.0;
-    // What was read is of an older copy; how often the platform had gone back by then.
-    let (mut is_outdated, mut times_gone_back) = (false, 0);
+    let mut stored: Option<StoredHolds> = None;
+    let mut pause = RETRY_BACKOFF.0;
+    // Whether the stored findings were read from an older copy, and the number of rollbacks by
+    // then.
+    let (mut is_outdated, mut rollbacks) = (false, 0);
     loop {
-        monoio::time::sleep(LOOK).await;
-        let (is_keeper, holds_any, must_read) = {
+        monoio::time::sleep(CHECK_INTERVAL).await;
+        let (is_writer, has_quarantined, must_read) = {
             let state = node.state.borrow();
-            is_outdated |=
-                std::mem::replace(&mut times_gone_back, state.times_gone_back) < times_gone_back;
-            let holds_any = state.quarantine.quarantined().next().is_some();
-            let knows_any = holds_any || state.quarantine.all().any(|finding| finding.epoch > 0);
-            let is_keeper = is_keeper(&state);
+            is_outdated |= std::mem::replace(&mut rollbacks, state.times_gone_back) < rollbacks;
+            let has_quarantined = state.quarantine.quarantined().next().is_some();
+            let has_findings =
+                has_quarantined || state.quarantine.all().any(|finding| finding.epoch > 0);
+            let is_writer = is_writer(&state);
             let must_read = match is_outdated {
-                true => is_keeper && knows_any,
-                false => known.is_none() && reads_at_start(&state),
+                true => is_writer && has_findings,
+                false => stored.is_none() && must_read_at_start(&state),
             };
-            (is_keeper, holds_any, must_read)
+            (is_writer, has_quarantined, must_read)
         };
-        let done = match &mut known {
+        let done = match &mut stored {
             Some(_) if is_outdated && !must_read => Ok(()),
-            old if must_read || (old.is_none() && is_keeper && holds_any) => {
+            old if must_read || (old.is_none() && is_writer && has_quarantined) => {
                 holds.all().await.map(|batch| {
-                    let read = old.as_ref().map(Known::to_be_read).unwrap_or_default();
-                    old.insert(read).take(&node, batch);
+                    let read = old.as_ref().map(StoredHolds::for_reread).unwrap_or_default();
+                    old.insert(read).apply(&node, batch);
                     is_outdated = false;
                 })
             }
-            Some(known) if is_keeper && (holds_any || known.due(&node).is_some()) => {
-                match keep_or_wait(&holds, &node, known).await {
-                    // Somebody else wrote, or the history is gone: everything is read again.
+            Some(stored) if is_writer && (has_quarantined || stored.next_due(&node).is_some()) => {
+                match write_or_wait(&holds, &node, stored).await {
+                    // Another writer was faster, or the history is gone: everything is read again.
                     Ok(true) => Ok(()),
                     Ok(false) | Err(SourceError::HistoryGone) => holds.all().await.map(|batch| {
-                        *known = known.to_be_read();
-                        known.take(&node, batch);
+                        *stored = stored.for_reread();
+                        stored.apply(&node, batch);
                     }),
                     Err(err) => Err(err),
                 }
@@ -209,47 +221,47 @@
             _ => Ok(()),
         };
         match done {
-            Ok(()) => pause = RETRY.0,
+            Ok(()) => pause = RETRY_BACKOFF.0,
             Err(err) => {
                 trace::Line::new("holds_failed").field("error", err.to_string()).log();
                 monoio::time::sleep(pause).await;
-                pause = (pause * 2).min(RETRY.1);
+                pause = (pause * 2).min(RETRY_BACKOFF.1);
             }
         }
     }
 }
 
-/// Writes what is due, or waits for changes; false when what is kept must be read again.
-async fn keep_or_wait<H: Holds>(
+/// Writes what is due, or waits for changes; returns false if the findings must be read again.
+async fn write_or_wait<H: Holds>(
     holds: &H,
     node: &Node,
-    known: &mut Known,
+    stored: &mut StoredHolds,
 ) -> Result<bool, SourceError> {
-    if let Some((hold, over)) = known.due(node) {
-        let written = holds.keep(&hold, over).await?;
+    if let Some((hold, expected)) = stored.next_due(node) {
+        let written = holds.save(&hold, expected).await?;
         if written {
             trace::Line::new("hold_kept")
                 .field("content", hold.finding.content)
                 .field("held", hold.finding.is_quarantined())
                 .log();
-            // Which change wrote it is not known: to write it again, it is read again.
+            // The position of this write is unknown: before it can be replaced, it is read again.
             let (content, written_at) = (hold.finding.content, Cursor::MAX);
-            known.rows.insert(content, Kept { hold, written_at });
+            stored.rows.insert(content, StoredHold { hold, written_at });
         }
         return Ok(written);
     }
-    let cursor = known.cursor;
+    let cursor = stored.cursor;
     let changes = monoio::select! {
-        changes = holds.changes(cursor, WAIT) => changes?,
-        () = until_due(node, known) => return Ok(true),
+        changes = holds.changes(cursor, LONG_POLL_TIMEOUT) => changes?,
+        () = wait_until_due(node, stored) => return Ok(true),
     };
-    known.take(node, changes);
+    stored.apply(node, changes);
     Ok(true)
 }
 
-/// Ends once this node has something to write, or is not the one that waits any more.
-async fn until_due(node: &Node, known: &Known) {
-    while known.due(node).is_none() && is_keeper(&node.state.borrow()) {
-        monoio::time::sleep(LOOK).await;
+/// Returns once this node has something to write, or is no longer the one that waits.
+async fn wait_until_due(node: &Node, stored: &StoredHolds) {
+    while stored.next_due(node).is_none() && is_writer(&node.state.borrow()) {
+        monoio::time::sleep(CHECK_INTERVAL).await;
     }
 }
--- a/crates/edge/src/tests/crashing.rs
+++ b/crates/edge/src/tests/crashing.rs
@@ -17,7 +17,7 @@
 use crate::follow::SourceError;
 use crate::forward::Node;
 use crate::history::Cursor;
-use crate::holds::{Hold, Holds, Kept};
+use crate::holds::{Hold, Holds, StoredHold};
 use crate::state::{self, State};
 use crate::{follow, gossip, holds, serve};
 
@@ -257,7 +257,7 @@
 /// A platform that keeps findings and counts the calls.
 #[derive(Clone, Default)]
 pub struct Platform {
-    pub kept: Rc<RefCell<Vec<Kept>>>,
+    pub kept: Rc<RefCell<Vec<StoredHold>>>,
     pub calls: Rc<Cell<u32>>,
     /// Raised, waits under way go silent for good, without a sign.
     pub stalls: Rc<Cell<u32>>,
@@ -286,12 +286,12 @@
     /// Has a finding in place of what is kept.
     pub fn write(&self, hold: Hold) {
         self.version.set(self.version.get() + 1);
-        let kept = Kept { hold, written_at: self.version.get() };
+        let kept = StoredHold { hold, written_at: self.version.get() };
         *self.kept.borrow_mut() = vec![kept];
     }
 
     fn batch(&self) -> holds::Batch {
-        holds::Batch { kept: self.kept.borrow().clone(), cursor: self.version.get() }
+        holds::Batch { holds: self.kept.borrow().clone(), cursor: self.version.get() }
     }
 }
 
@@ -314,7 +314,7 @@
         Ok(self.batch())
     }
 
-    async fn keep(&self, hold: &Hold, over: Cursor) -> Result<bool, SourceError> {
+    async fn save(&self, hold: &Hold, over: Cursor) -> Result<bool, SourceError> {
         self.calls.set(self.calls.get() + 1);
         let is_as_read = self.kept.borrow().first().map_or(0, |kept| kept.written_at) == over;
         if is_as_read {
