--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which entry nodes callers are told to use.
+//! Selects the entry nodes that callers are told to use.
 
 use std::net::SocketAddr;
 
@@ -8,38 +8,38 @@
 
 use crate::state::State;
 
-/// Nodes near the caller from which on no others are named: bytes between zones
-/// are paid for, and one node alone is no choice when it fails.
-const ENOUGH: usize = 2;
+/// Number of nearby nodes that is enough to leave out farther ones: bytes between zones are paid
+/// for, and a single node leaves no alternative if it fails.
+const MIN_NEARBY_NODES: usize = 2;
 
-/// Addresses in one answer at most.
-const MOST: usize = 64;
+/// Maximum number of addresses in a response.
+const MAX_ADDRESSES: usize = 64;
 
-/// Who asks, and for what.
+/// Location of a caller, and the host that it looks up entry nodes for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asker<'a> {
-    /// Its availability zone.
+pub struct Lookup<'a> {
+    /// The caller's availability zone.
     pub zone: &'a str,
-    /// Its region.
+    /// The caller's region.
     pub region: &'a str,
-    /// The host that its requests are for.
+    /// The host of its requests.
     pub host: &'a str,
 }
 
-/// Returns the addresses for a caller; empty when this node knows none.
+/// Returns the addresses for a caller; empty if this node knows none.
 ///
-/// Where there are more than fit, each answer names others, by chance: were it always the same
-/// ones, the nodes beyond would get no callers at all.
+/// If there are more nodes than fit, each response contains a random choice: with a fixed choice,
+/// the other nodes would get no callers at all.
 ///
-/// Peers that are alive and hold a configuration are named, those suspected
-/// only when there are not enough others. A node that believes most of its
-/// peers dead is more likely cut off itself, but then it names itself and
-/// whoever it still reaches, which is what its caller can use too.
+/// The response contains peers that are alive and have a configuration, and suspected ones only if
+/// there are not enough others. A node that considers most of its peers dead is more likely
+/// partitioned itself, but then it returns itself and the peers that it still reaches, which its
+/// caller can use too.
 ///
-/// Nodes of the caller's zone are preferred, then those of its region, then those of regions in which
-/// the requests of the host may run: through others, its bodies would pass a region that they have
-/// nothing to do with.
-pub fn addresses(state: &mut State, asker: Asker<'_>) -> Vec<SocketAddr> {
+/// Nodes of the caller's zone are preferred, then those of its region, then those of regions in
+/// which the requests of the host may run: through any other node, request bodies would pass a
+/// region in which the requests may not run.
+pub fn addresses(state: &mut State, lookup: Lookup<'_>) -> Vec<SocketAddr> {
     let front = |peer: &SocketAddr| SocketAddr::new(peer.ip(), state.settings.front_addr.port());
     let serving = |standing: Standing| {
         state
@@ -48,44 +48,51 @@
             .filter(move |(_, peer)| peer.standing == standing && peer.config_head > 0)
             .map(move |(addr, peer)| (front(addr), &peer.zone))
     };
-    let mut known: Vec<(SocketAddr, &Zone)> = serving(Standing::Alive).collect();
+    let mut nodes: Vec<(SocketAddr, &Zone)> = serving(Standing::Alive).collect();
     if state.is_ready() {
-        known.push((state.settings.front_addr, &state.settings.zone));
+        nodes.push((state.settings.front_addr, &state.settings.zone));
     }
-    if known.len() < ENOUGH {
-        known.extend(serving(Standing::Suspect));
+    if nodes.len() < MIN_NEARBY_NODES {
+        nodes.extend(serving(Standing::Suspect));
     }
-    let host = asker.host.to_ascii_lowercase();
-    let homes = state.table.as_ref().and_then(|table| table.allowed_regions_of(&host));
-    let nearness = |zone: &Zone| {
+    let host = lookup.host.to_ascii_lowercase();
+    let allowed_regions = state.table.as_ref().and_then(|table| table.allowed_regions_of(&host));
+    let proximity_of = |zone: &Zone| {
         let region = state.settings.regions.get(zone);
-        match &homes {
-            _ if zone == asker.zone => Nearness::SameZone,
-            _ if region.is_some_and(|region| region == asker.region) => Nearness::SameRegion,
-            Some(homes) if !region.is_some_and(|region| homes.contains(region)) => Nearness::Far,
-            _ => Nearness::Home,
+        match &allowed_regions {
+            _ if zone == lookup.zone => Proximity::SameZone,
+            _ if region.is_some_and(|region| region == lookup.region) => Proximity::SameRegion,
+            Some(allowed_regions)
+                if !region.is_some_and(|region| allowed_regions.contains(region)) =>
+            {
+                Proximity::OtherRegion
+            }
+            _ => Proximity::AllowedRegion,
         }
     };
-    let known: Vec<(SocketAddr, Nearness)> =
-        known.into_iter().map(|(addr, zone)| (addr, nearness(zone))).collect();
-    let within = |farthest: Nearness| known.iter().filter(|(_, near)| *near <= farthest).count();
-    let allowed = [Nearness::SameZone, Nearness::SameRegion, Nearness::Home];
-    let farthest = match allowed.into_iter().find(|farthest| within(*farthest) >= ENOUGH) {
-        Some(farthest) => farthest,
-        None if within(Nearness::Home) > 0 => Nearness::Home,
-        None => Nearness::Far,
-    };
-    let is_meant = |(_, near): &&(SocketAddr, Nearness)| *near <= farthest;
-    let named: Vec<SocketAddr> = known.iter().filter(is_meant).map(|(addr, _)| *addr).collect();
-    named.choose_multiple(&mut state.rng, MOST).copied().collect()
+    let nodes: Vec<(SocketAddr, Proximity)> =
+        nodes.into_iter().map(|(addr, zone)| (addr, proximity_of(zone))).collect();
+    let within =
+        |farthest: Proximity| nodes.iter().filter(|(_, proximity)| *proximity <= farthest).count();
+    let preferred = [Proximity::SameZone, Proximity::SameRegion, Proximity::AllowedRegion];
+    let farthest =
+        match preferred.into_iter().find(|farthest| within(*farthest) >= MIN_NEARBY_NODES) {
+            Some(farthest) => farthest,
+            None if within(Proximity::AllowedRegion) > 0 => Proximity::AllowedRegion,
+            None => Proximity::OtherRegion,
+        };
+    let is_selected = |(_, proximity): &&(SocketAddr, Proximity)| *proximity <= farthest;
+    let selected: Vec<SocketAddr> =
+        nodes.iter().filter(is_selected).map(|(addr, _)| *addr).collect();
+    selected.choose_multiple(&mut state.rng, MAX_ADDRESSES).copied().collect()
 }
 
-/// How near a node is to a caller, the nearest first.
+/// Proximity of a node to a caller, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Nearness {
+enum Proximity {
     SameZone,
     SameRegion,
-    /// In another region in which its requests may run.
-    Home,
-    Far,
+    /// In another region in which the caller's requests may run.
+    AllowedRegion,
+    OtherRegion,
 }
--- a/crates/edge/src/tests/beliefs.rs
+++ b/crates/edge/src/tests/beliefs.rs
@@ -1,4 +1,4 @@
-//! What a node believes: configuration, upstreams, peers, its own stop.
+//! The node's state: configuration, upstreams, peers, and its own stop.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use wire::Standing;
 
 use super::fake::{metrics, ms, run, settings, table, up};
-use crate::directory::Asker;
+use crate::directory::Lookup;
 use crate::follow::{self, Batch, Event, Source, SourceError, Topic};
 use crate::forward::Node;
 use crate::history::Cursor;
@@ -19,8 +19,8 @@
     Rc::new(Node::new(Rc::new(RefCell::new(State::new(settings()))), metrics()))
 }
 
-fn in_zone(zone: &str) -> Asker<'_> {
-    Asker { zone, ..Asker::default() }
+fn in_zone(zone: &str) -> Lookup<'_> {
+    Lookup { zone, ..Lookup::default() }
 }
 
 fn addr(n: u8) -> SocketAddr {
@@ -31,7 +31,7 @@
     Peer { zone: zone.into(), standing, config_head, list_head: 0, heard: true }
 }
 
-/// A platform whose wait for changes hangs until it is asked anew, and that counts the calls.
+/// A platform that counts the calls, and whose long poll hangs until the next request.
 #[derive(Clone, Default)]
 struct Platform {
     newest: Rc<Cell<Cursor>>,
@@ -59,13 +59,13 @@
         _topic: Topic,
         cursor: Cursor,
         wait: Duration,
-        _patience: Duration,
+        _grace: Duration,
     ) -> Result<Batch, SourceError> {
         if self.history_gone.replace(false) {
             return Err(SourceError::HistoryGone);
         }
-        let asked_at = Instant::now();
-        while asked_at.elapsed() < wait && (self.hang.get() || self.newest.get() == cursor) {
+        let started_at = Instant::now();
+        while started_at.elapsed() < wait && (self.hang.get() || self.newest.get() == cursor) {
             monoio::time::sleep(ms(10)).await;
         }
         Ok(self.batch())
@@ -76,12 +76,11 @@
     }
 }
 
-/// Symptom: a node serves by an old configuration seconds after a cut has healed.
-/// Sequence: the wait for changes hangs on a connection whose answer is stuck in retransmission;
-/// the configuration changes; the other nodes see it.
-/// Cause: nothing but the platform's answer could end the wait.
+/// Guards against a node that uses an old configuration seconds after a partition has ended. Its
+/// long poll hangs on a connection whose response is stuck in retransmission, while the
+/// configuration changes and the other nodes see it. Peers that are ahead must end the long poll.
 #[test]
-fn a_node_that_is_behind_its_peers_asks_again() {
+fn a_node_that_is_behind_its_peers_reads_again() {
     run(async {
         let (platform, node) = (Platform::default(), node());
         platform.newest.set(5);
@@ -91,14 +90,14 @@
         assert_eq!(node.state.borrow().config_version(), 5);
         platform.newest.set(6);
         node.state.borrow_mut().peers.insert(addr(1), peer("a", Standing::Alive, 6));
-        // A first read is followed by a second in which a peer may be found.
+        // After the first snapshot the node looks for a peer for up to a second.
         monoio::time::sleep(ms(2_500)).await;
         assert_eq!(node.state.borrow().config_version(), 6);
     });
 }
 
 #[test]
-fn a_node_whose_place_in_the_history_is_gone_reads_everything() {
+fn a_node_whose_cursor_is_gone_reads_a_snapshot() {
     run(async {
         let (platform, node) = (Platform::default(), node());
         platform.newest.set(5);
@@ -110,9 +109,8 @@
     });
 }
 
-/// Symptom: a route moves back to its old service for a moment.
-/// Sequence: a late answer with an older version arrives after a newer one was in force.
-/// Cause: applying whatever was read last.
+/// Guards against a route that moves back to its old service for a moment: a late response with an
+/// older version arrives when a newer one is already in force.
 #[test]
 fn a_configuration_never_goes_back() {
     let mut state = State::new(settings());
@@ -122,11 +120,10 @@
     assert_eq!(state.config_version(), 7);
 }
 
-/// Symptom: a node's memory grows for weeks.
-/// Sequence: routes come and go, each under a name of its own.
-/// Cause: keeping what was learned of a route that is gone.
+/// Guards against memory that grows for weeks: routes come and go, each under its own name, and
+/// what was learned about a removed route must be dropped.
 #[test]
-fn what_is_known_of_a_route_goes_with_it() {
+fn state_of_a_removed_route_is_dropped() {
     let mut state = State::new(settings());
     state.apply_table(table(7, ClientLimits::default()));
     for name in ["/get/", "/gone/"] {
@@ -140,11 +137,10 @@
     assert_ne!(state.works.work("/get/", ms(300)), guess);
 }
 
-/// Symptom: every change of one topic makes all nodes ask for the other topic too.
-/// Sequence: a peer has seen a newer change of the upstreams; the configuration is the same.
-/// Cause: one place in the history for both.
+/// Guards against a change of one topic that makes all nodes read the other topic too: a peer has
+/// seen a newer change of the upstreams while the configuration is the same.
 #[test]
-fn being_behind_is_told_by_topic() {
+fn being_behind_is_tracked_by_topic() {
     let mut state = State::new(settings());
     state.config_seen = Seen { up_to: 10, newest: 8, read: true, ..Seen::default() };
     state.list_seen = Seen { up_to: 10, newest: 9, read: true, ..Seen::default() };
@@ -175,9 +171,8 @@
     state
 }
 
-/// Symptom: callers are sent to nodes that do not serve.
-/// Sequence: peers died, left, are suspected, or started and have no configuration yet.
-/// Cause: naming every node that was ever heard of.
+/// Guards against callers that are sent to nodes that do not serve: peers that are dead, have
+/// left, are suspected, or have no configuration yet.
 #[yare::parameterized(
     own_zone = { &[(1, "a", Standing::Alive, 7), (2, "b", Standing::Alive, 7)], &[127, 1] },
     alone_in_its_zone = { &[(2, "b", Standing::Alive, 7)], &[127, 2] },
@@ -202,15 +197,15 @@
     assert_eq!(last, expected);
 }
 
-/// Symptom: a request is cut when a node that was told to stop ends.
-/// Sequence: a request that may take long comes on a kept connection in the last part of the grace.
-/// Cause: taking on what cannot end in time, instead of sending its caller to another node.
+/// Guards against a request that is cut when a stopping node exits: a request that may take long
+/// arrives on a kept-alive connection in the last part of the grace period. Its caller must be
+/// sent to another node instead.
 #[yare::parameterized(
     early_and_long = { 1_000, 8_000, false },
     late_and_short = { 4_000, 1_000, false },
     late_and_long = { 4_000, 2_000, true },
 )]
-fn a_stopping_node_refuses_what_would_be_cut(after_ms: u64, takes_ms: u64, refused: bool) {
+fn a_stopping_node_rejects_requests_that_would_be_cut(after_ms: u64, takes_ms: u64, refused: bool) {
     let asked_at = Instant::now();
     let stopping = Stopping { asked_at, ends_at: asked_at + ms(5_400) };
     let now = asked_at + ms(after_ms);
@@ -218,7 +213,7 @@
 }
 
 #[test]
-fn a_stopping_node_is_not_ready_and_not_named() {
+fn a_stopping_node_is_neither_ready_nor_in_the_directory() {
     let mut state = state_with(&[(1, "a", Standing::Alive, 7), (2, "a", Standing::Alive, 7)]);
     assert!(state.is_ready());
     let now = Instant::now();
@@ -227,26 +222,25 @@
     assert_eq!(crate::directory::addresses(&mut state, in_zone("a")).len(), 2);
 }
 
-/// Symptom: in a zone of a hundred nodes a third of them gets no callers.
-/// Sequence: callers ask again and again.
-/// Cause: answers that always name the first addresses.
+/// Guards against a third of the nodes of a zone of a hundred getting no callers, because each
+/// response contains the same first addresses.
 #[test]
-fn all_nodes_of_a_large_zone_are_named_in_time() {
+fn the_directory_eventually_returns_all_nodes_of_a_large_zone() {
     let peers: Vec<(u8, &str, Standing, Cursor)> =
         (1..=100).map(|n| (n, "a", Standing::Alive, 7)).collect();
     let mut state = state_with(&peers);
-    let mut named = std::collections::HashSet::new();
+    let mut returned = std::collections::HashSet::new();
     for _ in 0..30 {
         let addresses = crate::directory::addresses(&mut state, in_zone("a"));
         assert_eq!(addresses.len(), 64);
-        named.extend(addresses);
+        returned.extend(addresses);
     }
-    assert_eq!(named.len(), 101);
+    assert_eq!(returned.len(), 101);
 }
 
-/// An operator sees what a node goes by: how it hears of changes, its peers, its upstreams.
+/// The status shows an operator how the node hears of changes, its peers, and its upstreams.
 #[test]
-fn a_status_tells_what_the_node_goes_by() {
+fn the_status_shows_reads_peers_and_upstreams() {
     let mut state = state_with(&[(1, "a", Standing::Suspect, 7)]);
     let now = Instant::now();
     let entry = state.roster.entries().next().expect("an entry").clone();
--- a/crates/edge/src/tests/homes.rs
+++ b/crates/edge/src/tests/homes.rs
@@ -8,7 +8,7 @@
 
 use super::fake::{answer, get, ms, run, start, table, Caller, Entered, Upstream};
 use super::fleet::{addr, serving, state_at};
-use crate::directory::{addresses, Asker};
+use crate::directory::{addresses, Lookup};
 
 /// Availability zones `a` and `b` of one region, `c` of another.
 fn regions() -> HashMap<place::Zone, Region> {
@@ -109,7 +109,7 @@
         peer.standing = Standing::Alive;
         state.peers.insert(addr(*n), peer);
     }
-    let asker = Asker { zone, region, host: "Seeds.example" };
+    let asker = Lookup { zone, region, host: "Seeds.example" };
     let mut named = addresses(&mut state, asker);
     named.sort_unstable();
     let expected: Vec<_> = expected.iter().map(|n| addr(*n)).collect();
