--- a/crates/edge/src/forward/held.rs
+++ b/crates/edge/src/forward/held.rs
@@ -135,7 +135,7 @@
     pub(crate) fn wake_gossip(&self) {
         if let Some(gossip) = self.gossip.get() {
             // The task ends only with the process.
-            let _ = gossip.send(gossip::Input::News);
+            let _ = gossip.send(gossip::Input::UpdatesPending);
         }
     }
 }
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -12,21 +12,21 @@
 use crate::state::Peer;
 use crate::unix_ms;
 
-/// How often the membership state advances; well below its shortest timeout.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which the membership state advances; well below its shortest timeout.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest datagram read; longer ones are cut and refused.
-const READ_BYTES: usize = 2_048;
+/// Maximum length of a datagram in bytes; longer ones are truncated and rejected.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// What other tasks tell the membership task.
+/// Inputs of the membership task from other tasks.
 #[derive(Debug)]
 pub enum Input {
-    /// A datagram arrived.
+    /// A datagram was received.
     Datagram(SocketAddr, Vec<u8>),
-    /// Time passed.
+    /// The tick interval has elapsed.
     Tick,
-    /// There is news of requests that crash upstreams, or of what upstreams state about themselves.
-    News,
+    /// Findings about requests that crash upstreams, or notices of upstreams, wait to be broadcast.
+    UpdatesPending,
     /// This node is stopping.
     Leave,
 }
@@ -72,12 +72,12 @@
                 event => apply(&node, event),
             }
         }
-        out.extend(tell_findings(&mut members, &node));
-        out.extend(tell_notices(&mut members, &node));
+        out.extend(broadcast_findings(&mut members, &node));
+        out.extend(broadcast_notices(&mut members, &node));
         for member::Outgoing { to, packet } in out {
             let bytes = packet.encode();
             count_sent(&node, to, bytes.len() as u64);
-            // A datagram that cannot be sent is one that is lost: the protocol expects that.
+            // A datagram that cannot be sent counts as lost, which the protocol tolerates.
             let _ = socket.send_to(bytes, to).await;
         }
     }
@@ -85,29 +85,29 @@
 
 fn count_sent(node: &Node, to: SocketAddr, bytes: u64) {
     let state = &mut *node.state.borrow_mut();
-    let is_near = state.peers.get(&to).is_some_and(|peer| peer.zone == state.settings.zone);
+    let is_same_zone = state.peers.get(&to).is_some_and(|peer| peer.zone == state.settings.zone);
     state.counters.membership_bytes += bytes;
-    state.counters.membership_far_bytes += if is_near { 0 } else { bytes };
+    state.counters.membership_far_bytes += if is_same_zone { 0 } else { bytes };
 }
 
-/// Tells peers what is news of requests that crash upstreams.
-fn tell_findings(members: &mut member::Members, node: &Node) -> Vec<member::Outgoing> {
-    let ledger = &mut node.state.borrow_mut().quarantine;
-    let news = ledger.take_new_findings(unix_ms());
-    members.set_held_digest(ledger.digest());
-    news.into_iter().flat_map(|news| members.broadcast_finding(news)).collect()
+/// Broadcasts new findings about requests that crash upstreams.
+fn broadcast_findings(members: &mut member::Members, node: &Node) -> Vec<member::Outgoing> {
+    let quarantine = &mut node.state.borrow_mut().quarantine;
+    let findings = quarantine.take_new_findings(unix_ms());
+    members.set_held_digest(quarantine.digest());
+    findings.into_iter().flat_map(|finding| members.broadcast_finding(finding)).collect()
 }
 
-/// Tells peers what is news of what upstreams state about themselves.
-fn tell_notices(members: &mut member::Members, node: &Node) -> Vec<member::Outgoing> {
-    let (news, now) = (node.state.borrow_mut().notices.take_new_notices(), Instant::now());
-    news.into_iter().flat_map(|news| members.broadcast_notice(news, now)).collect()
+/// Broadcasts new notices of what upstreams state about themselves.
+fn broadcast_notices(members: &mut member::Members, node: &Node) -> Vec<member::Outgoing> {
+    let (notices, now) = (node.state.borrow_mut().notices.take_new_notices(), Instant::now());
+    notices.into_iter().flat_map(|notice| members.broadcast_notice(notice, now)).collect()
 }
 
 fn handle(members: &mut member::Members, input: Input, now: Instant) -> Vec<member::Outgoing> {
     match input {
         Input::Tick => members.tick(now),
-        Input::News => Vec::new(),
+        Input::UpdatesPending => Vec::new(),
         Input::Datagram(from, bytes) => match wire::Packet::decode(&bytes) {
             Ok(packet) => members.receive(from, packet, now),
             Err(err) => {
@@ -163,7 +163,7 @@
 
 async fn read(socket: Rc<UdpSocket>, tx: Tx<Input>) {
     loop {
-        let (result, mut buf) = socket.recv_from(vec![0; READ_BYTES]).await;
+        let (result, mut buf) = socket.recv_from(vec![0; MAX_DATAGRAM_BYTES]).await;
         match result {
             Ok((length, from)) => {
                 buf.truncate(length);
@@ -171,14 +171,14 @@
                     return;
                 }
             }
-            // An ICMP "port unreachable" of an earlier send shows here on some systems.
-            Err(_) => monoio::time::sleep(TICK).await,
+            // On some systems an ICMP "port unreachable" for an earlier send is reported here.
+            Err(_) => monoio::time::sleep(TICK_INTERVAL).await,
         }
     }
 }
 
 async fn tick(tx: Tx<Input>) {
     while tx.send(Input::Tick).is_ok() {
-        monoio::time::sleep(TICK).await;
+        monoio::time::sleep(TICK_INTERVAL).await;
     }
 }
