--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -1,8 +1,8 @@
-//! Keeps the node's beliefs in step with the platform.
+//! Keeps the node's copy of the platform's configuration and upstream list up to date.
 //!
-//! The platform is whatever implements [`Source`]. A failed read keeps what is
-//! held: an outage of the platform must not empty a node's configuration or
-//! its pools. A node whose place in the history was lost reads everything again.
+//! The platform is any implementation of [`Source`]. A failed read leaves the current state in
+//! place: an outage of the platform must not empty a node's configuration or its pools. A node
+//! whose cursor is no longer in the platform's history reads a full snapshot again.
 
 mod apply;
 
@@ -21,49 +21,49 @@
 use crate::history::{self, Cursor};
 use crate::readers;
 
-/// Time for an answer that the platform is not asked to wait with. A platform eighty times slower than
-/// usual answers within 0.4 s.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time allowed for the response to a request that does not long-poll. A platform that is eighty
+/// times slower than usual responds within 0.4 s.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a change before the next wait begins. Changes come in series,
-/// and each wait ends with the first one: without a pause a series of forty
-/// costs forty calls, with it the rest is taken in one.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Delay between a change and the next long poll. Changes come in bursts and each long poll
+/// returns with the first one: without a delay a burst of forty changes costs forty calls, with it
+/// the rest arrives in one call.
+const BATCH_DELAY: Duration = Duration::from_millis(150);
 
-/// Pauses after failed reads: the first, and the longest. A node that was cut
-/// off must be in step again three seconds after the cut heals, and what
-/// vanished meanwhile is kept for two of them.
-const RETRY: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(700));
+/// Backoff after failed reads: initial and maximum. A node that was partitioned must be up to date
+/// three seconds after the partition ends, and upstreams that vanished meanwhile are kept for two
+/// of these seconds.
+const RETRY_BACKOFF: (Duration, Duration) =
+    (Duration::from_millis(150), Duration::from_millis(700));
 
-/// Times the pause can double.
-const RETRY_DOUBLINGS: u32 = 4;
+/// Maximum number of times that the backoff doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// While the platform does not answer one follower, the others wait for it
-/// this long before they try too: each call is paid for, refused ones too.
-const WAIT_FOR_OTHER: Duration = Duration::from_secs(3);
+/// While the platform does not respond to the follower of one topic, the other follower waits this
+/// long before it tries too: each call is paid for, including rejected ones.
+const OTHER_TOPIC_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time after a first read in which a peer may be found to read through. Well
-/// below the time within which changes must be in force.
-const SETTLE: Duration = Duration::from_secs(1);
+/// Time after the first snapshot during which a node looks for a peer to read through. Well below
+/// the time within which changes must be in force.
+const PEER_SEARCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The same for a node that knows of a reader: where hundreds of nodes restart at once, some readers
-/// are asked only in the second second. Still within the time in which changes must be in force at
-/// the soonest.
-const SETTLE_BESIDE_READER: Duration = Duration::from_secs(2);
+/// Same as [`PEER_SEARCH_TIMEOUT`] for a node that is not a reader: when hundreds of nodes
+/// restart at once, some readers are not queried until the second second. Still within the
+/// shortest time in which changes must be in force.
+const NON_READER_PEER_SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often a follower looks whether it has fallen behind.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which a follower checks whether it has fallen behind.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same for a node that holds nothing yet: callers wait for it.
-const LOOK_AT_START: Duration = Duration::from_millis(5);
+/// Same as [`CHECK_INTERVAL`] for a node without any state yet: callers are waiting for it.
+const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A peer that has seen more for this long shows that the own wait for changes
-/// is dead: usually all nodes hear of a change within a few milliseconds, or
-/// [`PAUSE`] later. Shorter than that, each series of changes would send half
-/// of the fleet to the platform.
-const BEHIND_FOR: Duration = Duration::from_millis(350);
+/// A peer that has been ahead for this long shows that this node's own long poll is dead: usually
+/// all nodes hear of a change within a few milliseconds, or [`BATCH_DELAY`] later. With a shorter
+/// time, each burst of changes would send half of the fleet to the platform.
+const MIN_BEHIND_TIME: Duration = Duration::from_millis(350);
 
-/// What can be followed.
+/// A part of the platform's state that a node follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topic {
     /// The configuration, and which availability zones are evacuated.
@@ -81,30 +81,30 @@
     }
 }
 
-/// One thing that was read.
+/// A change, or an item of a snapshot.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The configuration as it is now.
+    /// The current configuration.
     Config(route::Table),
-    /// An availability zone is evacuated from now on, or no longer; of topic [`Topic::Config`].
+    /// The evacuation of an availability zone began or ended. Belongs to [`Topic::Config`].
     Evacuation {
         /// The zone.
         zone: place::Zone,
-        /// Whether its upstreams get nothing.
+        /// Whether requests are kept away from the zone's upstreams.
         is_evacuated: bool,
     },
-    /// Something about one upstream.
+    /// A change of one upstream.
     Upstream(place::Event),
 }
 
-/// What one read returned.
+/// The result of one read.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// What was read, in order.
+    /// The events, in order.
     pub events: Vec<Event>,
-    /// Where to go on from.
+    /// The position to continue from.
     pub cursor: Cursor,
-    /// The newest change among the events; 0 when there is none.
+    /// The newest change among the events; 0 if there are none.
     pub newest: Cursor,
 }
 
@@ -112,66 +112,69 @@
     /// Why a read failed.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum SourceError {
-        /// The platform cannot be reached, is too busy, or did not answer in time.
+        /// The platform is unreachable or overloaded, or did not respond in time.
         Unavailable(message: String) {
             display("unavailable: {}", message)
         }
-        /// The wait for changes was given up: others have seen changes that it did not tell.
+        /// The long poll was cancelled: peers have seen changes that it did not deliver.
         Behind {
             display("behind other entry nodes")
         }
-        /// The history asked for is no longer kept.
+        /// The platform no longer has the history after the given cursor.
         HistoryGone {
-            display("history no longer kept")
+            display("history no longer available")
         }
-        /// The answer cannot be read.
-        BadAnswer(message: String) {
-            display("bad answer: {}", message)
+        /// The response cannot be decoded.
+        BadResponse(message: String) {
+            display("invalid response: {}", message)
         }
     }
 }
 
-/// The platform as the node reads it.
+/// The platform, as a node reads it.
 pub trait Source: 'static {
-    /// Reads all there is of a topic.
+    /// Reads the complete state of a topic.
     fn snapshot(&self, topic: Topic) -> impl Future<Output = Result<Batch, SourceError>>;
 
-    /// Waits up to `wait` for what changed after `cursor`; nothing changed if the batch is empty.
-    /// An answer that takes `patience` longer is given up.
+    /// Waits up to `long_poll_timeout` for changes after `cursor`; an empty batch means that
+    /// nothing changed. A response that is not there `grace` after that is given up.
     fn changes(
         &self,
         topic: Topic,
         cursor: Cursor,
-        wait: Duration,
-        patience: Duration,
+        long_poll_timeout: Duration,
+        grace: Duration,
     ) -> impl Future<Output = Result<Batch, SourceError>>;
 
-    /// Returns true when the platform takes a connection within `timeout`; no call is made.
+    /// Returns true if the platform accepts a connection within `timeout`; makes no call.
     fn takes_connections(&self, timeout: Duration) -> impl Future<Output = bool>;
 }
 
-/// Follows one topic forever.
+/// Follows a topic forever.
 pub async fn run<S: Source>(source: S, topic: Topic, node: Rc<Node>) {
     let mut cursor: Option<Cursor> = None;
     let mut failures = 0;
     loop {
         if !node.state.borrow().direct {
-            // What a peer kept through an outage is not told again by the platform's history:
-            // reading the platform again begins with everything.
+            // The platform's history does not repeat what a peer kept through an outage: direct
+            // reading always starts with a snapshot.
             (cursor, failures) = (None, 0);
-            let holds_all = node.state.borrow().is_in_step();
-            monoio::time::sleep(if holds_all { LOOK } else { LOOK_AT_START }).await;
+            let has_state = node.state.borrow().is_in_step();
+            monoio::time::sleep(if has_state { CHECK_INTERVAL } else { STARTUP_CHECK_INTERVAL })
+                .await;
             continue;
         }
         if cursor.is_none() && topic == Topic::Config {
-            until_list_is_read(&node).await;
+            wait_for_list(&node).await;
         }
-        let (asked_at, bound) = (Instant::now(), node.state.borrow().bound(topic));
-        let waits = cursor.is_some() && failures == 0;
+        let (requested_at, bound) = (Instant::now(), node.state.borrow().bound(topic));
+        let is_long_poll = cursor.is_some() && failures == 0;
         let read = match cursor {
             None => source.snapshot(topic).await,
-            // Nothing is kept waiting after a failure: the answer shows at once what was missed.
-            Some(after) if !waits => source.changes(topic, after, Duration::ZERO, PATIENCE).await,
+            // No long poll after a failure: an immediate response shows what was missed.
+            Some(after) if !is_long_poll => {
+                source.changes(topic, after, Duration::ZERO, RESPONSE_TIMEOUT).await
+            }
             Some(after) => monoio::select! {
                 read = source.changes(
                     topic,
@@ -179,36 +182,36 @@
                     bound.long_poll_timeout(),
                     bound.long_poll_grace(),
                 ) => read,
-                () = behind(&node, topic) => Err(SourceError::Behind),
-                () = until_indirect(&node) => continue,
+                () = wait_until_behind(&node, topic) => Err(SourceError::Behind),
+                () = wait_until_indirect(&node) => continue,
             },
         };
-        let read = read.and_then(|batch| in_order(&node, topic, batch));
-        count(&node, &read);
+        let read = read.and_then(|batch| reject_older_era(&node, topic, batch));
+        count_read(&node, &read);
         let pause = match read {
             Ok(batch) => {
-                regained(&node, topic, failures);
-                let first = cursor.is_none();
+                record_success(&node, topic, failures);
+                let is_first_read = cursor.is_none();
                 let changed = !batch.events.is_empty() && cursor.is_some() && failures == 0;
                 failures = 0;
-                let as_of = match waits {
-                    true => bound.as_of(asked_at, Instant::now(), batch.events.is_empty()),
-                    false => asked_at,
+                let as_of = match is_long_poll {
+                    true => bound.as_of(requested_at, Instant::now(), batch.events.is_empty()),
+                    false => requested_at,
                 };
                 node.state.borrow_mut().seen_mut(topic).lease.renew(as_of);
-                // Seen before it is applied: what is passed on to subscribers says up to where.
-                let batch = without_older_words(&node, topic, batch);
-                if seen(&node, topic, batch.cursor, batch.newest) {
-                    doubt_what_is_read(&node, topic);
+                // Recorded before the batch is applied: frames to subscribers carry the position.
+                let batch = without_stale_evacuations(&node, topic, batch);
+                if record_progress(&node, topic, batch.cursor, batch.newest) {
+                    delay_after_rollback(&node, topic);
                 }
                 apply(&node, topic, batch.events, cursor.is_none());
                 cursor = Some(batch.cursor);
                 match () {
-                    () if first => {
-                        settle(&node, topic).await;
+                    () if is_first_read => {
+                        search_for_peer(&node, topic).await;
                         Duration::ZERO
                     }
-                    () if changed => PAUSE,
+                    () if changed => BATCH_DELAY,
                     () => Duration::ZERO,
                 }
             }
@@ -224,35 +227,40 @@
                 let line = trace::Line::new("history_gone").field("topic", topic.name());
                 line.field("cursor", cursor).log();
                 cursor = None;
-                jittered(RETRY.0)
+                with_jitter(RETRY_BACKOFF.0)
             }
-            // Its connection may have gone silent alone: a new one tells.
-            Err(err) if waits && asked_at.elapsed() >= bound.long_poll_timeout() => {
-                lost(&node, topic, failures, asked_at, &err);
+            // Only this connection may have gone silent: a new one shows whether the platform
+            // responds.
+            Err(err) if is_long_poll && requested_at.elapsed() >= bound.long_poll_timeout() => {
+                record_failure(&node, topic, failures, requested_at, &err);
                 failures += 1;
                 Duration::ZERO
             }
             Err(err) => {
-                lost(&node, topic, failures, asked_at, &err);
-                let_go(&node, topic, asked_at);
+                record_failure(&node, topic, failures, requested_at, &err);
+                drop_subscribers(&node, topic, requested_at);
                 failures += 1;
-                let doubled = RETRY.0 * (1 << failures.min(RETRY_DOUBLINGS));
-                let most = readers::longest_pause(&node.state.borrow(), RETRY.1);
-                // Nodes that can wait long begin with that: a short outage is over before they
-                // have tried five times.
-                jittered(if most > RETRY.1 { most } else { doubled.min(most) })
+                let backoff = RETRY_BACKOFF.0 * (1 << failures.min(MAX_BACKOFF_DOUBLINGS));
+                let max_backoff = readers::max_retry_backoff(&node.state.borrow(), RETRY_BACKOFF.1);
+                // Nodes with a long maximum start with it: a short outage is over before they
+                // would have tried five times.
+                with_jitter(if max_backoff > RETRY_BACKOFF.1 {
+                    max_backoff
+                } else {
+                    backoff.min(max_backoff)
+                })
             }
         };
-        pause_unless_behind(&node, topic, pause).await;
-        // Without a pause there is reason to think that the platform answers.
+        sleep_unless_behind(&node, topic, pause).await;
+        // A delay of zero means that the platform probably responds.
         if failures > 0 && !pause.is_zero() && topic == Topic::Config {
-            wait_for_other(&node).await;
+            wait_for_other_topic(&node).await;
         }
     }
 }
 
-/// Refuses an answer that was on its way when the platform went back.
-fn in_order(node: &Node, topic: Topic, batch: Batch) -> Result<Batch, SourceError> {
+/// Rejects a response that was in flight when the platform was rolled back.
+fn reject_older_era(node: &Node, topic: Topic, batch: Batch) -> Result<Batch, SourceError> {
     let seen = *node.state.borrow_mut().seen_mut(topic);
     match history::era(batch.cursor) < history::era(seen.up_to) {
         true => Err(SourceError::HistoryGone),
@@ -260,23 +268,25 @@
     }
 }
 
-/// Leaves out evacuations as an older read lists them: after its history is gone the platform may answer
-/// as of some seconds ago, and would have requests sent to a zone that was evacuated since. What changed
-/// after that read is told by the next one.
-fn without_older_words(node: &Node, topic: Topic, mut batch: Batch) -> Batch {
+/// Replaces the evacuations in a batch that is older than what this node has seen. After the
+/// history is gone, the platform may respond as of some seconds ago, and requests would be sent to
+/// a zone that has been evacuated since. The next read delivers what changed after the older
+/// state.
+fn without_stale_evacuations(node: &Node, topic: Topic, mut batch: Batch) -> Batch {
     let seen = *node.state.borrow_mut().seen_mut(topic);
-    let is_of_this_era = history::era(batch.cursor) == history::era(seen.up_to);
-    if topic == Topic::Config && is_of_this_era && batch.cursor < seen.newest {
+    let is_same_era = history::era(batch.cursor) == history::era(seen.up_to);
+    if topic == Topic::Config && is_same_era && batch.cursor < seen.newest {
         batch.events.retain(|event| !matches!(event, Event::Evacuation { .. }));
         let zones = node.state.borrow().evacuations.zones().clone();
-        let held = zones.into_iter().map(|zone| Event::Evacuation { zone, is_evacuated: true });
-        batch.events.extend(held);
+        let known = zones.into_iter().map(|zone| Event::Evacuation { zone, is_evacuated: true });
+        batch.events.extend(known);
     }
     batch
 }
 
-/// Has what is read of a platform that went back not count before its writers could write again.
-fn doubt_what_is_read(node: &Node, topic: Topic) {
+/// Delays the effect of data from a rolled-back platform until its writers had time to write
+/// again.
+fn delay_after_rollback(node: &Node, topic: Topic) {
     let (state, now) = (&mut *node.state.borrow_mut(), Instant::now());
     match topic {
         Topic::Config => state.evacuations.store_rolled_back(now),
@@ -284,107 +294,110 @@
     }
 }
 
-fn count(node: &Node, read: &Result<Batch, SourceError>) {
+fn count_read(node: &Node, read: &Result<Batch, SourceError>) {
     let counters = &mut node.state.borrow_mut().counters;
     match read {
         Ok(_) => counters.reads += 1,
-        // Nothing was answered, and nothing failed: the wait was given up.
+        // Neither a response nor a failure: the long poll was cancelled.
         Err(SourceError::Behind) => {}
         Err(_) => counters.reads_failed += 1,
     }
 }
 
-/// Pauses, and no longer than usual once peers have seen more: the platform answers them.
-async fn pause_unless_behind(node: &Node, topic: Topic, pause: Duration) {
+/// Sleeps for `pause`, but no longer than the usual maximum once peers are ahead: the platform
+/// responds to them.
+async fn sleep_unless_behind(node: &Node, topic: Topic, pause: Duration) {
     let since = Instant::now();
-    monoio::time::sleep(pause.min(RETRY.1)).await;
-    wait_while(LOOK, || since.elapsed() < pause && !node.state.borrow().is_behind(topic)).await;
+    monoio::time::sleep(pause.min(RETRY_BACKOFF.1)).await;
+    wait_while(CHECK_INTERVAL, || since.elapsed() < pause && !node.state.borrow().is_behind(topic))
+        .await;
 }
 
-/// Waits a little after everything was read: usually a peer is found meanwhile that passes the
-/// changes on, and the first wait at the platform is saved. A node that peers ask reads on at once:
-/// after a restart of all nodes it has read a little less than those who ask it, who would turn it
-/// down and read everything again themselves.
-async fn settle(node: &Node, topic: Topic) {
+/// Waits briefly after the first snapshot: usually the node finds a peer to read through
+/// meanwhile, which saves its first long poll. A node that peers subscribe to continues at once:
+/// after a restart of the whole fleet its snapshot is slightly older than those of its
+/// subscribers, which would reject it and read everything again themselves.
+async fn search_for_peer(node: &Node, topic: Topic) {
     let since = Instant::now();
     let may_wait = || {
         let state = node.state.borrow();
-        let longest = match readers::is_reader(&state, state.settings.peer_addr) {
-            true => SETTLE,
-            false => SETTLE_BESIDE_READER,
+        let timeout = match readers::is_reader(&state, state.settings.peer_addr) {
+            true => PEER_SEARCH_TIMEOUT,
+            false => NON_READER_PEER_SEARCH_TIMEOUT,
         };
         let is_sure = state.is_sure(topic, Instant::now());
-        state.direct && is_sure && !node.subscribers.are_waiting() && since.elapsed() < longest
+        state.direct && is_sure && !node.subscribers.is_in_use() && since.elapsed() < timeout
     };
-    wait_while(LOOK, may_wait).await;
+    wait_while(CHECK_INTERVAL, may_wait).await;
 }
 
-async fn until_indirect(node: &Node) {
-    wait_while(LOOK, || node.state.borrow().direct).await;
+async fn wait_until_indirect(node: &Node) {
+    wait_while(CHECK_INTERVAL, || node.state.borrow().direct).await;
 }
 
-/// Waits while something holds, and looks again each `look`.
-async fn wait_while(look: Duration, holds: impl Fn() -> bool) {
-    while holds() {
-        monoio::time::sleep(look).await;
+/// Waits while a condition holds, and checks it at the given interval.
+async fn wait_while(interval: Duration, condition: impl Fn() -> bool) {
+    while condition() {
+        monoio::time::sleep(interval).await;
     }
 }
 
-/// Waits until the follower of the upstreams has found the platform to answer, at a node that lost
-/// its reader and serves meanwhile by what it holds.
+/// Waits until the follower of the upstreams has got a response from the platform, on a node that
+/// lost its reader and serves from its current state meanwhile.
 ///
-/// The load pattern: the platform is silent, the readers let hundreds of nodes go at once, and each
-/// asks for both topics in vain, again and again: of 3,100 calls of a day half were these. A node that
-/// is not sure of its configuration any more does not wait.
-async fn until_list_is_read(node: &Node) {
+/// This matters when the platform is silent and the readers drop hundreds of subscribers at once:
+/// each node requests both topics in vain, again and again, which made up half of the 3,100 calls
+/// of a day. A node whose lease on the configuration has expired does not wait.
+async fn wait_for_list(node: &Node) {
     let may_wait = || {
         let state = node.state.borrow();
         let serves = state.direct && state.is_in_step();
         serves && !state.list_is_own && state.is_sure(Topic::Config, Instant::now())
     };
-    wait_while(LOOK_AT_START, may_wait).await;
+    wait_while(STARTUP_CHECK_INTERVAL, may_wait).await;
 }
 
-/// Waits while the platform does not answer the follower of the upstreams either, nor peers.
-async fn wait_for_other(node: &Node) {
+/// Waits while the platform does not respond to the follower of the upstreams either, nor to
+/// peers.
+async fn wait_for_other_topic(node: &Node) {
     let since = Instant::now();
-    let is_away = || {
+    let is_unavailable = || {
         let state = node.state.borrow();
         state.roster.store_is_unreachable() && !state.is_behind(Topic::Config)
     };
-    wait_while(LOOK, || is_away() && since.elapsed() < WAIT_FOR_OTHER).await;
+    wait_while(CHECK_INTERVAL, || is_unavailable() && since.elapsed() < OTHER_TOPIC_TIMEOUT).await;
 }
 
-/// Ends once a peer has seen changes of the topic that this node has not, for a while.
+/// Returns once a peer has been ahead of this node on the topic for a while.
 ///
-/// A connection can go silent without an error, or its answer be stuck in the
-/// retransmission timer of a cut that has healed. The wait for changes then
-/// lasts many seconds while the node serves by an old configuration.
-pub(crate) async fn behind(node: &Node, topic: Topic) {
+/// A connection can go silent without an error, or its response can be stuck in the retransmission
+/// timer after a partition has ended. The long poll then lasts many seconds while the node serves
+/// with an old configuration.
+pub(crate) async fn wait_until_behind(node: &Node, topic: Topic) {
     let mut since: Option<Instant> = None;
     loop {
-        monoio::time::sleep(LOOK).await;
+        monoio::time::sleep(CHECK_INTERVAL).await;
         let is_behind = node.state.borrow().is_behind(topic);
         since = match since {
             _ if !is_behind => None,
-            Some(since) if since.elapsed() >= BEHIND_FOR => return,
+            Some(since) if since.elapsed() >= MIN_BEHIND_TIME => return,
             Some(since) => Some(since),
             None => Some(Instant::now()),
         };
     }
 }
 
-/// Takes how far a topic was read; returns true when the platform has come back from an older copy
-/// since.
-fn seen(node: &Node, topic: Topic, up_to: Cursor, newest: Cursor) -> bool {
+/// Records how far a topic was read; returns true if the platform has been rolled back to an older
+/// copy since the previous read.
+fn record_progress(node: &Node, topic: Topic, up_to: Cursor, newest: Cursor) -> bool {
     let state = &mut *node.state.borrow_mut();
     let seen = state.seen_mut(topic);
     let (era, before) = (history::era(up_to), history::era(seen.up_to));
-    let went_back = seen.read && era > before;
+    let rolled_back = seen.read && era > before;
     seen.read = true;
     seen.up_to = seen.up_to.max(up_to);
     seen.newest = seen.newest.max(newest);
-    if went_back {
+    if rolled_back {
         state.times_gone_back += 1;
         trace::Line::new("store_went_back")
             .field("topic", topic.name())
@@ -392,17 +405,23 @@
             .field("before", before)
             .log();
     }
-    went_back
+    rolled_back
 }
 
 /// Spreads the calls of many nodes that failed at the same moment.
-fn jittered(pause: Duration) -> Duration {
+fn with_jitter(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.6..1.2))
 }
 
-fn lost(node: &Node, topic: Topic, failures: u32, asked_at: Instant, err: &SourceError) {
+fn record_failure(
+    node: &Node,
+    topic: Topic,
+    failures: u32,
+    requested_at: Instant,
+    err: &SourceError,
+) {
     if topic == Topic::Upstreams {
-        node.state.borrow_mut().roster.store_lost(asked_at);
+        node.state.borrow_mut().roster.store_lost(requested_at);
     }
     if failures == 0 {
         trace::Line::new("store_lost")
@@ -412,13 +431,13 @@
     }
 }
 
-/// Lets subscribers go: they may be answered where this node is not.
-fn let_go(node: &Node, topic: Topic, asked_at: Instant) {
+/// Disconnects the subscribers: the platform may respond to them where it does not to this node.
+fn drop_subscribers(node: &Node, topic: Topic, requested_at: Instant) {
     let bound = node.state.borrow().bound(topic);
-    node.subscribers.drop_all(asked_at.elapsed() > bound.long_poll_timeout());
+    node.subscribers.drop_all(requested_at.elapsed() > bound.long_poll_timeout());
 }
 
-fn regained(node: &Node, topic: Topic, failures: u32) {
+fn record_success(node: &Node, topic: Topic, failures: u32) {
     if topic == Topic::Upstreams {
         let state = &mut *node.state.borrow_mut();
         state.roster.store_answered(Instant::now());
--- a/crates/edge/src/follow/apply.rs
+++ b/crates/edge/src/follow/apply.rs
@@ -1,48 +1,48 @@
-//! What was read of the platform, or passed on by a peer, taken into the node's beliefs.
+//! Applies data that was read from the platform, or received from a peer, to the node's state.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use super::{seen, Event, Topic};
+use super::{record_progress, Event, Topic};
 use crate::as_ms;
 use crate::forward::Node;
 use crate::relay;
 
-/// Upstreams new at once that get a line of the log each. A node that starts hears of hundreds, and
-/// their lines would take the place of those about requests.
-const LISTED_ONE_BY_ONE: usize = 20;
+/// Maximum number of new upstreams that are logged with one line each. A starting node learns of
+/// hundreds, and their lines would displace those about requests.
+const MAX_LISTED_LINES: usize = 20;
 
-/// Takes what `peer` passed on of the platform.
+/// Applies a frame that `peer` relayed.
 ///
 /// # Errors
 ///
-/// [`std::io::ErrorKind::InvalidData`] when a list cannot be read; nothing of it is taken.
+/// [`std::io::ErrorKind::InvalidData`] if a list cannot be decoded; nothing of it is applied.
 pub(crate) fn adopt(node: &Node, peer: SocketAddr, frame: relay::Frame) -> std::io::Result<()> {
     let now = Instant::now();
     match frame {
-        relay::Frame::Sure { .. } | relay::Frame::MayBeLate | relay::Frame::Ask { .. } => {}
+        relay::Frame::Ages { .. } | relay::Frame::MayBeLate | relay::Frame::Referral { .. } => {}
         relay::Frame::Config { up_to, newest, table, held_for } => {
-            seen(node, Topic::Config, up_to, newest);
+            record_progress(node, Topic::Config, up_to, newest);
             if let Some(table) = table {
                 apply_table(node, table, Origin::Peer(peer, held_for));
             }
         }
         relay::Frame::Evacuated { up_to, newest, zones } => {
-            seen(node, Topic::Config, up_to, newest);
+            record_progress(node, Topic::Config, up_to, newest);
             change_evacuations(node, |evacuations| evacuations.adopt_snapshot(zones));
         }
-        relay::Frame::Read { up_to, newest } => {
-            seen(node, Topic::Upstreams, up_to, newest);
+        relay::Frame::Progress { up_to, newest } => {
+            record_progress(node, Topic::Upstreams, up_to, newest);
             apply_changes(node, &[], now);
         }
         relay::Frame::List { up_to, newest, entries } => {
-            let entries = relay::entries(&entries)?;
-            seen(node, Topic::Upstreams, up_to, newest);
+            let entries = relay::decode_entries(&entries)?;
+            record_progress(node, Topic::Upstreams, up_to, newest);
             let changes = node.state.borrow_mut().roster.adopt_snapshot(entries, now);
             apply_changes(node, &changes, now);
         }
         relay::Frame::Changes { up_to, newest, events } => {
-            seen(node, Topic::Upstreams, up_to, newest);
+            record_progress(node, Topic::Upstreams, up_to, newest);
             let changes = node.state.borrow_mut().roster.adopt_changes(events, now);
             apply_changes(node, &changes, now);
         }
@@ -50,10 +50,10 @@
     Ok(())
 }
 
-/// Takes what was read of a topic; `whole` says that it was all there is.
-pub(super) fn apply(node: &Node, topic: Topic, events: Vec<Event>, whole: bool) {
+/// Applies a batch of events; `is_snapshot` means that they are the complete state of the topic.
+pub(super) fn apply(node: &Node, topic: Topic, events: Vec<Event>, is_snapshot: bool) {
     let now = Instant::now();
-    let is_news = !events.is_empty();
+    let has_events = !events.is_empty();
     let mut rows = Vec::new();
     let mut evacuations = Vec::new();
     for event in events {
@@ -64,18 +64,20 @@
         }
     }
     match topic {
-        Topic::Upstreams if whole => {
+        Topic::Upstreams if is_snapshot => {
             let changes = node.state.borrow_mut().roster.apply_snapshot(rows, now);
             apply_changes(node, &changes, now);
         }
         Topic::Upstreams => apply_upstreams(node, rows, now),
-        Topic::Config if whole || is_news => apply_evacuations(node, evacuations, whole),
+        Topic::Config if is_snapshot || has_events => {
+            apply_evacuations(node, evacuations, is_snapshot)
+        }
         Topic::Config => {}
     }
 }
 
-fn apply_evacuations(node: &Node, changes: Vec<(place::Zone, bool)>, whole: bool) {
-    change_evacuations(node, |evacuations| match whole {
+fn apply_evacuations(node: &Node, changes: Vec<(place::Zone, bool)>, is_snapshot: bool) {
+    change_evacuations(node, |evacuations| match is_snapshot {
         true => {
             let is_listed = |(zone, listed): (place::Zone, bool)| listed.then_some(zone);
             evacuations.apply_snapshot(changes.into_iter().filter_map(is_listed).collect());
@@ -86,12 +88,12 @@
     });
 }
 
-/// Takes which availability zones are evacuated. Subscribers are told also where nothing changed: those
-/// that do not hear how far this node has read take themselves to be behind it.
+/// Changes which availability zones are evacuated. Subscribers get a frame even if nothing
+/// changed: without news of how far this node has read, they consider themselves behind it.
 fn change_evacuations(node: &Node, change: impl FnOnce(&mut place::Evacuations)) {
-    let news = node.state.borrow_mut().change_evacuations(change);
-    node.subscribers.tell(&relay::Frame::evacuated(&node.state.borrow()));
-    for (zone, is_evacuated) in news {
+    let changed = node.state.borrow_mut().change_evacuations(change);
+    node.subscribers.broadcast(&relay::Frame::evacuated(&node.state.borrow()));
+    for (zone, is_evacuated) in changed {
         trace::Line::new(if is_evacuated { "zone_evacuated" } else { "zone_restored" })
             .field("zone", zone.as_str())
             .field("up_to", node.state.borrow().config_seen.up_to)
@@ -99,7 +101,7 @@
     }
 }
 
-/// Takes what the platform tells of upstreams.
+/// Applies changes of upstreams as the platform reports them.
 pub fn apply_upstreams(node: &Node, events: Vec<place::Event>, now: Instant) {
     let changes = node.state.borrow_mut().roster.apply(events, now);
     apply_changes(node, &changes, now);
@@ -108,24 +110,24 @@
 /// Where a configuration comes from.
 enum Origin {
     Platform,
-    /// The peer, which has held it for a while.
+    /// A peer, and how long it has had the configuration.
     Peer(SocketAddr, Duration),
 }
 
 fn apply_table(node: &Node, table: route::Table, origin: Origin) {
     let (version, routes) = (table.version, table.route_count());
-    let held = node.state.borrow().config_version();
+    let previous = node.state.borrow().config_version();
     let applied = node.state.borrow_mut().apply_table(table);
     if applied {
-        node.subscribers.tell(&relay::Frame::config(&node.state.borrow()));
+        node.subscribers.broadcast(&relay::Frame::config(&node.state.borrow()));
     }
-    // A peer's feed begins with the version held already.
-    if version == held {
+    // A subscription starts with the version that this node may already have.
+    if version == previous {
         return;
     }
     let line = trace::Line::new(if applied { "config_applied" } else { "config_not_newer" })
         .field("version", version)
-        .field("held", held)
+        .field("held", previous)
         .field("routes", routes);
     match origin {
         Origin::Platform => line.field("from", "platform").log(),
@@ -137,17 +139,17 @@
 
 fn apply_changes(node: &Node, changes: &[place::Change], now: Instant) {
     if changes.is_empty() {
-        // Subscribers that do not hear how far this node has read take themselves to be behind it.
-        node.subscribers.tell(&relay::Frame::read(&node.state.borrow()));
+        // Without news of how far this node has read, subscribers consider themselves behind it.
+        node.subscribers.broadcast(&relay::Frame::progress(&node.state.borrow()));
         return;
     }
-    node.subscribers.list_changed();
-    node.subscribers.tell(&relay::Frame::changes(&node.state.borrow(), changes));
+    node.subscribers.invalidate_list();
+    node.subscribers.broadcast(&relay::Frame::changes(&node.state.borrow(), changes));
     let mut listed = Vec::new();
     for change in changes {
         match change {
-            // It crashed if it lost requests a moment ago; its address may have taken connections
-            // again before anybody tried.
+            // If it lost requests a moment ago, it crashed; its address may have accepted
+            // connections again before any node tried one.
             place::Change::Drop { upstream, reason, .. } if *reason == place::RESTARTED => {
                 node.has_ended(upstream);
             }
@@ -155,7 +157,7 @@
         }
         let known = node.state.borrow_mut().apply_change(change, now);
         match change {
-            // An upstream that warms up is told of again and again.
+            // An upstream in its warm-up is reported repeatedly.
             place::Change::Put(_) if known => {}
             place::Change::Put(entry) => listed.push(entry),
             place::Change::Drop { upstream, service, addr, reason } => {
@@ -173,9 +175,9 @@
     log_listed(node, &listed);
 }
 
-/// Logs upstreams that are new to this node: one by one, or as a number when it has read them all.
+/// Logs upstreams that are new to this node: one by one, or as a count if there are many.
 fn log_listed(node: &Node, listed: &[&place::Entry]) {
-    if listed.len() > LISTED_ONE_BY_ONE {
+    if listed.len() > MAX_LISTED_LINES {
         trace::Line::new("upstreams_listed")
             .field("count", listed.len())
             .field("up_to", node.state.borrow().list_seen.up_to)
@@ -192,8 +194,8 @@
     }
 }
 
-/// Lets go of upstreams that were kept through an outage and did not come back, and has an older copy
-/// of the evacuations count once nobody has written it anew.
+/// Drops upstreams that were kept through an outage and did not come back, and puts pending
+/// evacuations of a rolled-back platform into force if nobody has written them anew.
 pub fn expire(node: &Node, now: Instant) {
     let is_due = node.state.borrow().evacuations.is_due(now);
     if is_due {
--- a/crates/edge/src/readers.rs
+++ b/crates/edge/src/readers.rs
@@ -1,10 +1,9 @@
-//! Which nodes read the platform themselves, and through whom the others do.
+//! Selects which nodes read the platform directly, and through whom the others read it.
 //!
-//! Every call to the platform is paid for, and a change costs one call of each
-//! node that waits for it. A few nodes per zone wait at the platform; the
-//! others hear of changes from one of these a few milliseconds later. A
-//! reader that fails or falls behind is noticed by its own subscribers
-//! ([`crate::follow::behind`]), who then turn to another reader and, when that
+//! Every call to the platform is paid for, and a change costs one call of each node that
+//! long-polls it. A few nodes per zone, the readers, do; the others hear of changes from one of
+//! these a few milliseconds later. The subscribers of a reader notice when it fails or falls
+//! behind ([`crate::follow::wait_until_behind`]). They connect to another reader and, if that
 //! fails too, read the platform themselves.
 
 use std::collections::{BTreeMap, HashMap};
@@ -18,59 +17,61 @@
 use crate::state::State;
 use crate::Settings;
 
-/// Readers in the whole fleet at least: when one is cut off, two others still
-/// hear of changes and tell its subscribers that they are behind.
-const READERS_LEAST: usize = 3;
+/// Minimum number of readers in the whole fleet: if one is partitioned, two others still hear of
+/// changes and show its subscribers that they are behind.
+const MIN_READERS: usize = 3;
 
-/// A reader that the platform does not answer for this long asks another reader.
-const AWAY_FOR: Duration = Duration::from_secs(1);
+/// A reader that gets no response from the platform for this long reads through another reader.
+const READER_FALLBACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The same for a node that holds nothing yet.
-const AWAY_FOR_NEWCOMER: Duration = Duration::from_millis(200);
+/// Same as [`READER_FALLBACK_TIMEOUT`] for a node without any state yet.
+const NEW_NODE_FALLBACK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time in which a node whose reader let it go looks for another one before it reads the platform
-/// itself. All readers lose the platform in the same moment when it resets its connections, and are
-/// back at once; a reader that was cut off has noticed after 1.2 s, and what it missed must be in
-/// force within two seconds.
-const SWITCH_WITHIN: Duration = Duration::from_millis(400);
+/// Time for which a node that its reader dropped looks for another one before it reads the
+/// platform itself. When the platform resets its connections, all readers lose it in the same
+/// moment and are back at once. A partitioned reader notices after 1.2 s, and what it missed must
+/// be in force within two seconds.
+const READER_SWITCH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The same for a node of a fleet that starts for the first time: no callers come yet, and peers
-/// that start at the same moment take a while to listen.
-const SWITCH_WITHIN_FIRST_START: Duration = Duration::from_millis(2_000);
+/// Same as [`READER_SWITCH_TIMEOUT`] for a node of a fleet that starts for the first time: there
+/// are no callers yet, and peers that start at the same moment take a while to listen.
+const FIRST_START_SWITCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The same for a node that was restarted: callers wait. A peer that serves answers within a round
-/// trip or two; one that has no power does not, and the node reads the platform instead.
-const SWITCH_WITHIN_RESTARTED: Duration = Duration::from_millis(20);
+/// Same as [`READER_SWITCH_TIMEOUT`] for a node that was restarted: callers are waiting for it. A
+/// peer that serves responds within a round trip or two; one without power does not, and the node
+/// reads the platform instead.
+const RESTART_SWITCH_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A node that has just started knows few of its peers and would take itself for a reader. Messages
-/// of membership reach all within this time.
-const KNOWS_PEERS_AFTER: Duration = Duration::from_millis(1_000);
+/// Time from its start after which a node knows its peers. Earlier it knows few of them and would
+/// consider itself a reader. Membership messages reach all nodes within this time.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(1_000);
 
-/// The same while the whole fleet starts and all nodes introduce themselves at once.
-const KNOWS_PEERS_AFTER_FIRST_START: Duration = Duration::from_millis(3_500);
+/// Same as [`PEER_DISCOVERY_TIME`] while the whole fleet starts and all nodes join at once.
+const FIRST_START_PEER_DISCOVERY_TIME: Duration = Duration::from_millis(3_500);
 
-/// Calls per second of all nodes together to a platform that does not answer them: about a sixth
-/// of the smallest write rate seen (400 a second), so that others are served when it is back.
-const FRUITLESS_CALLS_PER_S: f64 = 60.0;
+/// Maximum calls per second of the whole fleet to a platform that does not respond: about a sixth
+/// of the lowest write rate seen (400 per second), so that other clients are served when it is
+/// back.
+const MAX_FAILING_CALLS_PER_S: f64 = 60.0;
 
-/// Longest pause between two tries of a node that is no reader: a reader that is served again takes
-/// it back within two seconds. With 2.5 s most of 312 nodes read everything themselves before that,
-/// and tried in vain three times in an outage of eight seconds.
-const PAUSE_MOST: Duration = Duration::from_secs(6);
+/// Maximum backoff of a node that is not a reader. A reader that gets responses again takes it
+/// back as a subscriber within two seconds. With 2.5 s, most of 312 nodes read everything
+/// themselves before that, and tried in vain three times in an outage of eight seconds.
+const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(6);
 
 /// How a node reads the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Itself.
+pub enum ReadPath {
+    /// Directly.
     Direct,
     /// Through this peer.
     Via(SocketAddr),
-    /// Not at all for now: the peers to ask are likely to answer in a moment.
-    Later,
+    /// Not now: the peers to read through will probably accept connections in a moment.
+    Deferred,
 }
 
-/// Returns the readers by zone: the first by address among those that serve, or among those
-/// that are alive as long as nobody serves.
+/// Returns the readers by zone: the first by address among the nodes that serve, or among those
+/// that are alive while no node serves.
 fn readers(state: &State) -> BTreeMap<SmolStr, Vec<SocketAddr>> {
     let mut by_zone: BTreeMap<SmolStr, Vec<SocketAddr>> = BTreeMap::new();
     let nobody_serves = !state.is_ready() && state.peers.values().all(|p| p.config_head == 0);
@@ -87,7 +88,7 @@
         let own = by_zone.entry(state.settings.zone.clone()).or_default();
         own.push(state.settings.peer_addr);
     }
-    let per_zone = READERS_LEAST.div_ceil(by_zone.len().max(1));
+    let per_zone = MIN_READERS.div_ceil(by_zone.len().max(1));
     for addrs in by_zone.values_mut() {
         addrs.sort_unstable();
         addrs.truncate(per_zone);
@@ -95,107 +96,108 @@
     by_zone
 }
 
-/// Returns true when `peer` is a reader.
+/// Returns true if `peer` is a reader.
 pub fn is_reader(state: &State, peer: SocketAddr) -> bool {
     readers(state).values().any(|addrs| addrs.contains(&peer))
 }
 
-/// Returns for how long a node without a reader may look for one before it reads the platform itself.
-pub fn switch_within(state: &State) -> Duration {
+/// Returns how long a node without a reader may look for one before it reads the platform itself.
+pub fn switch_timeout(state: &State) -> Duration {
     match state.is_in_step() {
-        true => SWITCH_WITHIN,
-        false if state.settings.first_start => SWITCH_WITHIN_FIRST_START,
-        false => SWITCH_WITHIN_RESTARTED,
+        true => READER_SWITCH_TIMEOUT,
+        false if state.settings.first_start => FIRST_START_SWITCH_TIMEOUT,
+        false => RESTART_SWITCH_TIMEOUT,
     }
 }
 
 /// Returns true once this node knows enough of its peers to tell whether it is a reader.
 pub fn knows_peers(state: &State, now: Instant) -> bool {
     let after = match state.settings.first_start {
-        true => KNOWS_PEERS_AFTER_FIRST_START,
-        false => KNOWS_PEERS_AFTER,
+        true => FIRST_START_PEER_DISCOVERY_TIME,
+        false => PEER_DISCOVERY_TIME,
     };
     now >= state.started_at + after
 }
 
-/// Returns true when this node begins by asking the nodes that it was told of at start.
+/// Returns true if this node first reads through the seed nodes of its settings.
 ///
-/// A peer that holds everything passes it on within a few milliseconds and without a call: of nodes
-/// that are restarted in turn, each made three calls and served 90 ms after its start where its link
-/// carries 20 Mbit/s. One that has just started itself says so at once, and the node reads the
-/// platform: three nodes that read it for all others after a restart of all would save 900 calls of
-/// 1,770 on such a day, but then nodes serve after 0.5 s, not 0.09 (0.087 of the requests of these two
-/// seconds).
+/// A peer with complete state relays it within a few milliseconds and without a call to the
+/// platform; when nodes are restarted one by one without this, each makes three calls and serves
+/// only 90 ms after its start over a link of 20 Mbit/s. A seed that has just started declines at
+/// once, and the node reads the platform. If three nodes read the platform for all others after a
+/// restart of the whole fleet, that would save 900 of 1,770 calls on such a day, but nodes would
+/// serve after 0.5 s instead of 0.09 s (a share of 0.087 of the requests in these two seconds).
 pub fn begins_with_seeds(settings: &Settings) -> bool {
     let seeds = &settings.seed_addrs;
     !seeds.is_empty() && !seeds.contains(&settings.peer_addr)
 }
 
-/// Returns true while this node reads through the seeds: it has just started, and who the readers
-/// are is not known yet. One that was restarted and has read the platform itself does not: a list of
-/// 30 KB more from another zone would tell it nothing.
+/// Returns true while this node reads through the seeds: it has just started and does not know the
+/// readers yet. A restarted node that has read the platform itself does not: another list of 30 KB
+/// from another zone would tell it nothing.
 fn reads_through_seeds(state: &State, now: Instant) -> bool {
     let needs_seeds = state.settings.first_start || !state.is_in_step();
     needs_seeds && begins_with_seeds(&state.settings) && !knows_peers(state, now)
 }
 
-/// Returns the seeds among `seeds` that are known to be in this node's zone, or all if none is.
+/// Returns those of `seeds` that are known to be in this node's zone, or all if none is.
 ///
-/// Bytes between zones are paid for, and each node is told of every upstream that registers.
-fn nearest(state: &State, seeds: Vec<SocketAddr>) -> Vec<SocketAddr> {
-    let is_near = |addr: &SocketAddr| {
+/// Bytes between zones are paid for, and each node receives every upstream that registers.
+fn same_zone_seeds(state: &State, seeds: Vec<SocketAddr>) -> Vec<SocketAddr> {
+    let is_same_zone = |addr: &SocketAddr| {
         state.peers.get(addr).is_some_and(|peer| peer.zone == state.settings.zone)
     };
-    match seeds.iter().any(is_near) {
-        true => seeds.into_iter().filter(is_near).collect(),
+    match seeds.iter().any(is_same_zone) {
+        true => seeds.into_iter().filter(is_same_zone).collect(),
         false => seeds,
     }
 }
 
-/// Returns true when this node, which reads through the seed `peer`, should ask another one.
+/// Returns true if this node reads through the seed `peer` and should switch to one in its zone.
 pub fn has_nearer_seed(state: &State, peer: SocketAddr, now: Instant) -> bool {
     let seeds = &state.settings.seed_addrs;
     reads_through_seeds(state, now)
         && seeds.contains(&peer)
-        && !nearest(state, seeds.clone()).contains(&peer)
+        && !same_zone_seeds(state, seeds.clone()).contains(&peer)
 }
 
-/// Returns the longest pause between two tries at a platform that does not answer; `most` for
-/// readers and nodes that hold nothing.
+/// Returns the maximum backoff between two attempts at a platform that does not respond;
+/// `default_max` for readers and nodes without state.
 ///
-/// The load pattern: the platform is down and each of a hundred nodes tries it every half second.
-/// Each call is paid for, and none helps: the readers notice first that it is back.
-pub fn longest_pause(state: &State, most: Duration) -> Duration {
+/// When the platform is down and each of a hundred nodes tries it every half second, each call is
+/// paid for and none helps: the readers are the first to notice that it is back.
+pub fn max_retry_backoff(state: &State, default_max: Duration) -> Duration {
     match state.is_in_step() && !is_reader(state, state.settings.peer_addr) {
         true => {
-            let spread = state.fleet_size() as f64 / FRUITLESS_CALLS_PER_S;
-            Duration::from_secs_f64(spread).clamp(most, PAUSE_MOST.max(most))
+            let spread = state.fleet_size() as f64 / MAX_FAILING_CALLS_PER_S;
+            Duration::from_secs_f64(spread).clamp(default_max, MAX_RETRY_BACKOFF.max(default_max))
         }
-        false => most,
+        false => default_max,
     }
 }
 
-/// Returns true when a node without a reader may wait for one: nothing is late yet that callers wait
-/// for.
+/// Returns true if a node without a reader may wait for one: nothing that callers wait for is late
+/// yet.
 fn may_search(state: &State) -> bool {
     !state.direct && (state.is_in_step() || state.settings.first_start)
 }
 
-/// Chooses how this node reads the platform now; peers in `avoided` failed it until then.
+/// Chooses how this node reads the platform now; peers in `excluded` failed and are not used until
+/// the given time.
 ///
-/// `searching` says that the node lost its reader, or started, a moment ago.
+/// `searching` means that the node lost its reader, or started, a moment ago.
 pub fn choose(
     state: &mut State,
-    avoided: &HashMap<SocketAddr, Instant>,
+    excluded: &HashMap<SocketAddr, Instant>,
     searching: bool,
     now: Instant,
-) -> Way {
+) -> ReadPath {
     let me = state.settings.peer_addr;
     let usable =
-        |addr: &SocketAddr| *addr != me && avoided.get(addr).is_none_or(|until| *until <= now);
+        |addr: &SocketAddr| *addr != me && excluded.get(addr).is_none_or(|until| *until <= now);
     let candidates: Vec<SocketAddr> = match state.is_in_step() {
-        // The platform does not answer a node that has nothing yet: any peer helps that serves.
-        false if state.roster.store_unreachable_for(now) >= AWAY_FOR_NEWCOMER => {
+        // The platform does not respond to a node without state: any peer that serves is of use.
+        false if state.roster.store_unreachable_for(now) >= NEW_NODE_FALLBACK_TIMEOUT => {
             let serving = state.peers.iter().filter(|(_, peer)| peer.config_head > 0);
             let serving: Vec<SocketAddr> = serving.map(|(addr, _)| *addr).filter(usable).collect();
             let seeds = state.settings.seed_addrs.iter().copied().filter(usable);
@@ -207,29 +209,29 @@
         }
         in_step if (in_step || searching) && reads_through_seeds(state, now) => {
             let seeds = state.settings.seed_addrs.iter().copied().filter(usable);
-            nearest(state, seeds.collect())
+            same_zone_seeds(state, seeds.collect())
         }
         false => Vec::new(),
         true => {
             let by_zone = readers(state);
             let is_reader = by_zone.values().any(|addrs| addrs.contains(&me));
-            let away = state.roster.store_unreachable_for(now) >= AWAY_FOR;
+            let is_unreachable = state.roster.store_unreachable_for(now) >= READER_FALLBACK_TIMEOUT;
             let all = || by_zone.values().flatten().copied().filter(usable).collect();
             let own = by_zone.get(&state.settings.zone).into_iter().flatten();
             let own: Vec<SocketAddr> = own.copied().filter(usable).collect();
             match is_reader {
                 false if own.is_empty() => all(),
                 false => own,
-                // The platform turns this reader away: another one may be served.
-                true if away => all(),
+                // The platform rejects this reader; another one may get responses.
+                true if is_unreachable => all(),
                 true => Vec::new(),
             }
         }
     };
     let is_known_reader = |state: &State| knows_peers(state, now) && is_reader(state, me);
     match candidates.choose(&mut state.rng) {
-        Some(peer) => Way::Via(*peer),
-        None if searching && may_search(state) && !is_known_reader(state) => Way::Later,
-        None => Way::Direct,
+        Some(peer) => ReadPath::Via(*peer),
+        None if searching && may_search(state) && !is_known_reader(state) => ReadPath::Deferred,
+        None => ReadPath::Direct,
     }
 }
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -1,10 +1,9 @@
-//! What the platform holds, passed on from node to node.
+//! Relays the platform's state from node to node.
 //!
-//! A node connects to a peer over TCP, on the address where that peer takes
-//! membership datagrams, and gets frames: the configuration and the list of
-//! upstreams as the peer holds them, then each change as the peer takes it
-//! on. The peer has decided already which upstreams are kept through an
-//! outage. Frames are postcard behind a length of four bytes.
+//! A node connects to a peer over TCP, on the address where that peer receives membership
+//! datagrams, and gets frames: the configuration and the list of upstreams as the peer has them,
+//! then each change as the peer applies it. The peer has already decided which upstreams are kept
+//! through an outage. Frames are encoded with postcard behind a length prefix of four bytes.
 
 mod frame;
 mod newcomers;
@@ -14,16 +13,16 @@
 
 use std::time::Duration;
 
-pub use self::frame::{entries, Frame};
+pub use self::frame::{decode_entries, Frame};
 pub use self::serve::{serve, watch_path};
 pub use self::subscribe::run;
 pub use self::subscribers::Subscribers;
 
-/// Time for the first frame.
-const FIRST_FRAME: Duration = Duration::from_millis(400);
+/// Time allowed until the first frame.
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often a node looks how it should read the platform.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which a node checks how it should read the platform.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often a peer that is not in step yet looks whether it is.
-const LOOK_IN_STEP: Duration = Duration::from_millis(20);
+/// Interval at which a peer that has not read everything yet checks whether it has.
+const SYNC_CHECK_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/edge/src/relay/frame.rs
+++ b/crates/edge/src/relay/frame.rs
@@ -1,4 +1,4 @@
-//! What nodes that read the platform through each other say.
+//! Messages between nodes that read the platform through each other.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -15,132 +15,140 @@
 use crate::history::Cursor;
 use crate::state::State;
 
-/// Longest frame taken, in bytes: the list at 6,700 upstreams is about 0.7 MB.
+/// Maximum length of a frame in bytes. The list of 6,700 upstreams takes about 0.7 MB.
 const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// What a subscriber says first.
+/// The first message of a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Greeting {
-    /// Where peers reach it.
+    /// Address at which peers reach the subscriber.
     pub(super) peer_addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the subscriber.
     pub(super) zone: SmolStr,
-    /// It holds nothing yet, and was restarted: callers wait for it.
-    pub(super) is_newcomer: bool,
-    /// Another node named this one to it, which is about to hold everything.
+    /// Whether the subscriber was restarted and has no state yet: callers are waiting for it.
+    #[serde(rename = "is_newcomer")]
+    pub(super) is_new_node: bool,
+    /// Whether another node referred the subscriber to this one, which is about to have all state.
     pub(super) was_referred: bool,
-    /// It holds nothing and the platform does not answer it, or nobody serves callers yet: anything
-    /// is better.
-    pub(super) takes_anything: bool,
-    /// The newest change of the configuration that it has seen; older answers are of no use.
+    /// Whether the subscriber accepts stale state. It does if it has none itself, and the platform
+    /// does not respond to it or no node serves callers yet.
+    #[serde(rename = "takes_anything")]
+    pub(super) accepts_stale: bool,
+    /// Newest change of the configuration that the subscriber has seen; older state is of no use
+    /// to it.
     pub(super) config_newest: Cursor,
-    /// The same for the list of upstreams.
+    /// Newest change of the list of upstreams that the subscriber has seen.
     pub(super) list_newest: Cursor,
 }
 
 impl Greeting {
     pub(super) fn of(state: &State, was_referred: bool) -> Greeting {
-        let holds_nothing = !state.is_in_step();
-        let nothing_else = state.settings.first_start || state.roster.store_is_unreachable();
-        let takes_anything = holds_nothing && nothing_else;
+        let has_no_state = !state.is_in_step();
+        let has_no_alternative = state.settings.first_start || state.roster.store_is_unreachable();
+        let accepts_stale = has_no_state && has_no_alternative;
         Greeting {
             peer_addr: state.settings.peer_addr,
             zone: state.settings.zone.clone(),
-            is_newcomer: holds_nothing && !takes_anything,
+            is_new_node: has_no_state && !accepts_stale,
             was_referred,
-            takes_anything,
+            accepts_stale,
             config_newest: state.config_seen.newest,
             list_newest: state.list_seen.newest,
         }
     }
 }
 
-/// Asks as of when what was passed on is everything. The greeting asks that too.
+/// Queries as of when the frames so far are complete. The greeting implies one such query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Ask {
-    /// When, since the subscription began at the subscriber; it comes back with the answer.
+pub(super) struct AgeQuery {
+    /// Time of the query, relative to the start of the subscription at the subscriber. The
+    /// response repeats it.
     pub(super) asked_after: Duration,
 }
 
-/// One message to a subscriber.
+/// A message to a subscriber.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// All that the peer knows was passed on before; it answers an [`Ask`].
-    Sure {
-        /// What the question said.
+    /// Response to a [`AgeQuery`]: everything that the peer knew was sent in earlier frames.
+    #[serde(rename = "Sure")]
+    Ages {
+        /// Taken from the query.
         asked_after: Duration,
-        /// How long ago the peer knew everything about the configuration.
+        /// How long ago the peer's configuration was last known to be complete.
         config_age: Option<Duration>,
-        /// The same for the list of upstreams.
+        /// How long ago the peer's list of upstreams was last known to be complete.
         list_age: Option<Duration>,
     },
-    /// The peer may have missed changes for a second already: the platform must be read at once.
+    /// The peer may have missed changes for a second already: subscribers must read the platform
+    /// at once.
     MayBeLate,
-    /// The configuration as the peer holds it.
+    /// The configuration as the peer has it.
     Config {
-        /// How much of its history the peer has seen.
+        /// Position up to which the peer has read the history.
         up_to: Cursor,
-        /// The newest change among that.
+        /// Newest change up to that position.
         newest: Cursor,
         /// The configuration, if there is one yet.
         table: Option<Table>,
-        /// For how long the peer has held it.
+        /// How long the peer has had it.
         held_for: Duration,
     },
-    /// The availability zones that are evacuated, and that nothing else about the operator's words is
-    /// new.
+    /// The evacuated availability zones. The frame also means that nothing else about the
+    /// operator's settings is new.
     Evacuated {
-        /// How much of the configuration's history the peer has seen.
+        /// Position up to which the peer has read the configuration's history.
         up_to: Cursor,
-        /// The newest change among that.
+        /// Newest change up to that position.
         newest: Cursor,
         /// The zones.
         zones: BTreeSet<Zone>,
     },
-    /// The peer has read on, and nothing about upstreams has changed for it.
-    Read {
-        /// How much of its history the peer has seen.
+    /// The peer has read further without any change of its upstreams.
+    #[serde(rename = "Read")]
+    Progress {
+        /// Position up to which the peer has read the history.
         up_to: Cursor,
-        /// The newest change among that.
+        /// Newest change up to that position.
         newest: Cursor,
     },
-    /// All upstreams as the peer holds them.
+    /// All upstreams as the peer has them.
     List {
-        /// How much of its history the peer has seen.
+        /// Position up to which the peer has read the history.
         up_to: Cursor,
-        /// The newest change among that.
+        /// Newest change up to that position.
         newest: Cursor,
-        /// The upstreams, encoded: [`entries`] reads them.
+        /// The encoded upstreams; [`decode_entries`] decodes them.
         entries: Vec<u8>,
     },
-    /// What changed about upstreams.
+    /// Changes of upstreams.
     Changes {
-        /// How much of its history the peer has seen.
+        /// Position up to which the peer has read the history.
         up_to: Cursor,
-        /// The newest change among that.
+        /// Newest change up to that position.
         newest: Cursor,
         /// The changes, in order.
         events: Vec<Event>,
     },
-    /// Another node that has just started passes on what this one holds: ask it.
-    Ask {
-        /// Where peers reach it.
+    /// Refers the subscriber to another node, which has just started and relays this node's state.
+    #[serde(rename = "Ask")]
+    Referral {
+        /// Address at which peers reach that node.
         peer: SocketAddr,
     },
 }
 
 impl Frame {
-    /// Returns the answer to a question.
-    pub(super) fn sure(state: &State, asked: Ask) -> Frame {
+    /// Returns the response to a query.
+    pub(super) fn ages(state: &State, query: AgeQuery) -> Frame {
         let now = Instant::now();
-        Frame::Sure {
-            asked_after: asked.asked_after,
+        Frame::Ages {
+            asked_after: query.asked_after,
             config_age: state.config_seen.lease.age(now),
             list_age: state.list_seen.lease.age(now),
         }
     }
 
-    /// Returns the frame of the configuration held.
+    /// Returns the frame with the current configuration.
     pub fn config(state: &State) -> Frame {
         let seen = state.config_seen;
         let table = state.table.as_deref().cloned();
@@ -148,19 +156,19 @@
         Frame::Config { up_to: seen.up_to, newest: seen.newest, table, held_for }
     }
 
-    /// Returns the frame of the evacuated zones.
+    /// Returns the frame with the evacuated zones.
     pub fn evacuated(state: &State) -> Frame {
         let (seen, zones) = (state.config_seen, state.evacuations.zones().clone());
         Frame::Evacuated { up_to: seen.up_to, newest: seen.newest, zones }
     }
 
-    /// Returns the frame that tells how far the list was read.
-    pub fn read(state: &State) -> Frame {
+    /// Returns the frame with the position up to which the list was read.
+    pub fn progress(state: &State) -> Frame {
         let seen = state.list_seen;
-        Frame::Read { up_to: seen.up_to, newest: seen.newest }
+        Frame::Progress { up_to: seen.up_to, newest: seen.newest }
     }
 
-    /// Returns the frame of changes taken on.
+    /// Returns the frame with applied changes.
     pub fn changes(state: &State, changes: &[Change]) -> Frame {
         let seen = state.list_seen;
         let event = |change: &Change| match change {
@@ -171,7 +179,7 @@
         Frame::Changes { up_to: seen.up_to, newest: seen.newest, events }
     }
 
-    /// Returns true when the frame lacks a change that this node has seen already.
+    /// Returns true if the frame lacks a change that this node has already seen.
     pub(super) fn is_stale(&self, state: &State) -> bool {
         match self {
             Frame::Config { up_to, .. } | Frame::Evacuated { up_to, .. } => {
@@ -179,23 +187,24 @@
             }
             Frame::List { up_to, .. } => *up_to < state.list_seen.newest,
             Frame::MayBeLate => true,
-            Frame::Sure { .. } | Frame::Read { .. } | Frame::Changes { .. } | Frame::Ask { .. } => {
-                false
-            }
+            Frame::Ages { .. }
+            | Frame::Progress { .. }
+            | Frame::Changes { .. }
+            | Frame::Referral { .. } => false,
         }
     }
 }
 
-/// Reads the upstreams of a [`Frame::List`].
+/// Decodes the upstreams of a [`Frame::List`].
 ///
 /// # Errors
 ///
-/// [`io::ErrorKind::InvalidData`] when they cannot be read.
-pub fn entries(encoded: &[u8]) -> io::Result<Vec<Entry>> {
+/// [`io::ErrorKind::InvalidData`] if they cannot be decoded.
+pub fn decode_entries(encoded: &[u8]) -> io::Result<Vec<Entry>> {
     postcard::from_bytes(encoded).map_err(|err| io::Error::new(io::ErrorKind::InvalidData, err))
 }
 
-/// Encodes a message behind its length.
+/// Encodes a message behind its length prefix.
 pub(super) fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let body = postcard::to_stdvec(message).expect("messages encode");
     let mut bytes = u32::try_from(body.len()).unwrap_or(u32::MAX).to_be_bytes().to_vec();
--- a/crates/edge/src/relay/newcomers.rs
+++ b/crates/edge/src/relay/newcomers.rs
@@ -1,10 +1,10 @@
-//! Through whom a node that has just started gets what the platform holds.
+//! Refers nodes that have just started to each other.
 //!
-//! The load pattern: all nodes of a fleet of hundreds start within 0.3 s and know three addresses
-//! each. Served by these three alone, a hundred lists of 30 KB would leave one link of 20 Mbit/s in
-//! 1.2 s; read from the platform, each costs three calls. Here a node that is asked passes the list to
-//! a few newcomers of each availability zone itself, and names one of these to the next ones: a tree
-//! in which no link carries more than a dozen lists, most of them inside a zone.
+//! When a fleet of hundreds starts, all nodes do so within 0.3 s and know three addresses each. If
+//! these three served everyone, sending a hundred lists of 30 KB would take 1.2 s over a link of
+//! 20 Mbit/s; reading from the platform costs three calls a node. Instead, a node serves the list
+//! to a few new nodes of each availability zone and refers the next ones to these: a tree in which
+//! no link carries more than a dozen lists, most of them within a zone.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,34 +12,37 @@
 
 use smol_str::SmolStr;
 
-/// Newcomers of a zone that the node itself serves: two, so that one that dies leaves another.
-const SERVED_PER_ZONE: usize = 2;
+/// Maximum number of new nodes of a zone that this node serves itself: two, so that one remains if
+/// the other dies.
+const MAX_SERVED_PER_ZONE: usize = 2;
 
-/// Newcomers that each of the others is named to. At four, 62 nodes of a zone that ask three seeds
-/// are three steps from their seed; each step takes 60 ms over a link of 20 Mbit/s.
+/// Number of new nodes that are referred to each of the others. With four, 62 nodes of a zone that
+/// connect to three seeds are at most three steps from their seed; each step takes 60 ms over a
+/// link of 20 Mbit/s.
 const FAN_OUT: usize = 4;
 
-/// For how long a newcomer is named to others: starts of one fleet were at most 0.3 s apart, and one
-/// that started earlier than this asks its own zone's reader by now.
-const NAMED_FOR: Duration = Duration::from_secs(1);
+/// Time for which other nodes are referred to a new node. The nodes of a fleet start at most 0.3 s
+/// apart, and one that started earlier than this reads through its own zone's reader by now.
+const REFERRAL_TTL: Duration = Duration::from_secs(1);
 
-/// Nodes that started a moment ago and asked this one.
+/// Nodes that started recently and subscribed to this one.
 #[derive(Debug, Default)]
-pub(super) struct Newcomers {
-    by_zone: HashMap<SmolStr, Vec<Newcomer>>,
+pub(super) struct NewNodes {
+    by_zone: HashMap<SmolStr, Vec<NewNode>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Newcomer {
+struct NewNode {
     addr: SocketAddr,
-    asked_at: Instant,
+    requested_at: Instant,
 }
 
-impl Newcomers {
-    /// Takes a newcomer that asks; returns whom it should ask instead, or `None` when it is to be
-    /// served here.
+impl NewNodes {
+    /// Adds a new node; returns the address of the node that it is referred to, or `None` if this
+    /// node serves it.
     ///
-    /// One that asks again is served here: whoever was named to it did not serve it.
+    /// A node that connects again is served here: the node that it was referred to did not serve
+    /// it.
     pub(super) fn refer(
         &mut self,
         addr: SocketAddr,
@@ -47,17 +50,17 @@
         now: Instant,
     ) -> Option<SocketAddr> {
         let zone = self.by_zone.entry(zone.clone()).or_default();
-        let is_new = |n: &Newcomer| now.saturating_duration_since(n.asked_at) < NAMED_FOR;
+        let is_new = |n: &NewNode| now.saturating_duration_since(n.requested_at) < REFERRAL_TTL;
         if !zone.iter().all(is_new) {
-            // Not one by one: whoever is named next must have been asked after those before it.
+            // All at once: a referral must never lead to a node that connected later.
             zone.clear();
         }
-        if zone.iter().any(|newcomer| newcomer.addr == addr) {
+        if zone.iter().any(|node| node.addr == addr) {
             return None;
         }
         let before = zone.len();
-        zone.push(Newcomer { addr, asked_at: now });
-        before.checked_sub(SERVED_PER_ZONE).map(|rank| zone[rank / FAN_OUT].addr)
+        zone.push(NewNode { addr, requested_at: now });
+        before.checked_sub(MAX_SERVED_PER_ZONE).map(|rank| zone[rank / FAN_OUT].addr)
     }
 }
 
--- a/crates/edge/src/relay/serve.rs
+++ b/crates/edge/src/relay/serve.rs
@@ -1,4 +1,4 @@
-//! Passing on what this node holds, and whether it may.
+//! Serves this node's state to subscribers, and decides whether it may.
 
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
@@ -7,48 +7,48 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRentExt, Splitable};
 use monoio::net::{TcpListener, TcpStream};
 
-use super::frame::{encode, receive, Ask, Frame, Greeting};
-use super::subscribers::{Frames, Queue};
-use super::{FIRST_FRAME, LOOK, LOOK_IN_STEP};
+use super::frame::{encode, receive, AgeQuery, Frame, Greeting};
+use super::subscribers::{FrameReceiver, FrameSender};
+use super::{FIRST_FRAME_TIMEOUT, READER_CHECK_INTERVAL, SYNC_CHECK_INTERVAL};
 use crate::follow;
 use crate::forward::Node;
 use crate::state::State;
 
-/// A subscriber that asks nothing for this long is gone. They ask several times a second.
-const ASKS_WITHIN: Duration = Duration::from_secs(10);
+/// A subscriber that sends no query for this long is gone. Subscribers send several a second.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often a reader with subscribers makes sure that it reaches the platform.
-const PATH_EVERY: Duration = Duration::from_millis(300);
+/// Interval at which a reader with subscribers checks that it reaches the platform; also the
+/// timeout of the check.
+const PATH_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Checks in a row that must fail: one lost packet is no cut.
-const PATH_FAILURES: u32 = 2;
+/// Number of consecutive failed checks that count as a lost path: a single lost packet does not.
+const PATH_FAILURE_THRESHOLD: u32 = 2;
 
-/// Lets the subscribers of this node go while it does not reach the platform.
+/// Drops this node's subscribers while it does not reach the platform.
 ///
-/// A cut shows on the wait for changes only when keep-alive probes of the
-/// operating system fail, about four seconds later. Until then the
-/// subscribers, which reach the platform themselves, would go by what the
-/// reader last heard; if all readers are cut off at once, nobody is ahead of
-/// them and being behind cannot be told either. It would show as requests to
-/// upstreams that left three seconds ago.
+/// The long poll notices a partition only when the operating system's keepalive probes fail, about
+/// four seconds later. Until then the subscribers, which reach the platform themselves, would rely
+/// on the reader's last state. If all readers are partitioned at once, nobody is ahead of them, so
+/// a subscriber cannot tell that it is behind either, and sends requests to upstreams that left
+/// three seconds ago.
 pub async fn watch_path<S: follow::Source>(source: S, node: Rc<Node>) {
     let mut failures = 0;
     loop {
-        monoio::time::sleep(PATH_EVERY).await;
-        let needed = node.state.borrow().direct && !node.subscribers.is_empty();
-        if !needed && failures == 0 {
+        monoio::time::sleep(PATH_CHECK_INTERVAL).await;
+        let is_needed = node.state.borrow().direct && !node.subscribers.is_empty();
+        if !is_needed && failures == 0 {
             continue;
         }
-        failures = match source.takes_connections(PATH_EVERY).await {
+        failures = match source.takes_connections(PATH_CHECK_INTERVAL).await {
             true => 0,
             false => failures + 1,
         };
-        let reached = failures < PATH_FAILURES;
-        if node.state.borrow().reaches_platform != reached {
-            trace::Line::new(if reached { "path_regained" } else { "path_lost" }).log();
-            node.state.borrow_mut().reaches_platform = reached;
+        let is_reachable = failures < PATH_FAILURE_THRESHOLD;
+        if node.state.borrow().reaches_platform != is_reachable {
+            trace::Line::new(if is_reachable { "path_regained" } else { "path_lost" }).log();
+            node.state.borrow_mut().reaches_platform = is_reachable;
         }
-        if !reached {
+        if !is_reachable {
             node.subscribers.drop_all(true);
         }
     }
@@ -59,127 +59,133 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                monoio::spawn(serve_one(stream, node.clone()));
+                monoio::spawn(serve_subscriber(stream, node.clone()));
             }
             Err(err) => {
                 trace::Line::new("accept_failed").field("error", err.to_string()).log();
-                monoio::time::sleep(LOOK).await;
+                monoio::time::sleep(READER_CHECK_INTERVAL).await;
             }
         }
     }
 }
 
-/// Returns true when what this node holds may be passed on.
+/// Returns true if this node's state may be relayed.
 ///
-/// A node that was cut off and is back keeps upstreams for a while that left
-/// meanwhile. Passed on, they would come back to life at nodes that had
-/// rightly let them go.
-fn may_pass_on(state: &State, greeting: &Greeting) -> bool {
-    let current = state.is_sure_of_all(Instant::now())
+/// A node that was partitioned and is back keeps upstreams for a while that left meanwhile. If it
+/// relayed them, they would reappear on nodes that had rightly dropped them.
+fn may_relay(state: &State, greeting: &Greeting) -> bool {
+    let is_current = state.is_sure_of_all(Instant::now())
         && state.reaches_platform
         && !state.roster.store_is_unreachable()
         && !state.roster.keeps_unlisted();
-    let enough = state.config_seen.up_to >= greeting.config_newest
+    let is_recent_enough = state.config_seen.up_to >= greeting.config_newest
         && state.list_seen.up_to >= greeting.list_newest;
-    state.is_in_step() && enough && (current || greeting.takes_anything)
+    state.is_in_step() && is_recent_enough && (is_current || greeting.accepts_stale)
 }
 
-/// Returns true when this node may soon be able to pass on what it cannot yet: it is about to read
-/// what the subscriber has seen. A node that the platform does not answer says no at once, so that
-/// the subscriber asks another.
-fn is_worth_waiting(state: &State, greeting: &Greeting) -> bool {
-    match greeting.is_newcomer {
+/// Returns true if this node may soon be able to relay its state: it is about to read what the
+/// subscriber has seen. A node to which the platform does not respond declines at once, so that
+/// the subscriber tries another one.
+fn may_become_ready(state: &State, greeting: &Greeting) -> bool {
+    match greeting.is_new_node {
         // It reads the platform sooner than this node, which has just started too.
         true => greeting.was_referred,
         false => {
-            greeting.takes_anything
+            greeting.accepts_stale
                 || (state.reaches_platform && !state.roster.store_is_unreachable())
         }
     }
 }
 
-/// Returns whom a newcomer should ask instead of this node.
-fn refer(node: &Node, greeting: &Greeting) -> Option<SocketAddr> {
-    let is_served = may_pass_on(&node.state.borrow(), greeting);
-    if !greeting.is_newcomer || greeting.was_referred || !is_served {
+/// Returns the node that a new node is referred to, if it is not served here.
+fn referral(node: &Node, greeting: &Greeting) -> Option<SocketAddr> {
+    let is_served = may_relay(&node.state.borrow(), greeting);
+    if !greeting.is_new_node || greeting.was_referred || !is_served {
         return None;
     }
     node.subscribers.refer(greeting.peer_addr, &greeting.zone, Instant::now())
 }
 
-/// Waits a little until what this node holds may be passed on; false when it may not.
-async fn until_may_pass_on(node: &Node, greeting: &Greeting) -> bool {
-    let _asking = node.subscribers.asking();
-    let asked_at = Instant::now();
-    while !may_pass_on(&node.state.borrow(), greeting) {
-        let worth_waiting = is_worth_waiting(&node.state.borrow(), greeting);
-        if !worth_waiting || asked_at.elapsed() > FIRST_FRAME {
+/// Waits briefly until this node's state may be relayed; returns false if it may not.
+async fn wait_until_relayable(node: &Node, greeting: &Greeting) -> bool {
+    let _pending = node.subscribers.count_pending();
+    let started_at = Instant::now();
+    while !may_relay(&node.state.borrow(), greeting) {
+        let may_wait = may_become_ready(&node.state.borrow(), greeting);
+        if !may_wait || started_at.elapsed() > FIRST_FRAME_TIMEOUT {
             return false;
         }
-        monoio::time::sleep(LOOK_IN_STEP).await;
+        monoio::time::sleep(SYNC_CHECK_INTERVAL).await;
     }
     true
 }
 
-fn count_passed_on(node: &Node, zone: &str, bytes: u64) {
+fn count_relayed(node: &Node, zone: &str, bytes: u64) {
     let state = &mut *node.state.borrow_mut();
     state.counters.relay_bytes += bytes;
     state.counters.relay_far_bytes += if state.settings.zone == zone { 0 } else { bytes };
 }
 
-async fn serve_one(mut stream: TcpStream, node: Rc<Node>) {
-    let greeting = monoio::time::timeout(FIRST_FRAME, receive::<Greeting, _>(&mut stream));
+async fn serve_subscriber(mut stream: TcpStream, node: Rc<Node>) {
+    let greeting = monoio::time::timeout(FIRST_FRAME_TIMEOUT, receive::<Greeting, _>(&mut stream));
     let Ok(Ok(greeting)) = greeting.await else { return };
-    if let Some(peer) = refer(&node, &greeting) {
-        // A newcomer that does not hear of the other one asks again.
-        let _ = stream.write_all(encode(&Frame::Ask { peer })).await;
+    if let Some(peer) = referral(&node, &greeting) {
+        // A new node that does not get the referral connects again.
+        let _ = stream.write_all(encode(&Frame::Referral { peer })).await;
         return;
     }
-    if !until_may_pass_on(&node, &greeting).await {
+    if !wait_until_relayable(&node, &greeting).await {
         return;
     }
-    // What is held now and all that follows: nothing is awaited in between, so no change is lost.
-    let first = {
+    // The current state and all later changes: without an await in between, no change is lost.
+    let initial = {
         let state = node.state.borrow();
         let mut bytes = encode(&Frame::config(&state));
         bytes.extend_from_slice(&encode(&Frame::evacuated(&state)));
-        bytes.extend_from_slice(&encode(&node.subscribers.list(&state)));
-        bytes.extend_from_slice(&encode(&Frame::sure(&state, Ask { asked_after: Duration::ZERO })));
+        bytes.extend_from_slice(&encode(&node.subscribers.list_frame(&state)));
+        bytes.extend_from_slice(&encode(&Frame::ages(
+            &state,
+            AgeQuery { asked_after: Duration::ZERO },
+        )));
         bytes
     };
-    let (queue, frames) = node.subscribers.add();
-    let (asks, stream) = stream.into_split();
+    let (sender, frames) = node.subscribers.add();
+    let (queries, stream) = stream.into_split();
     monoio::select! {
-        () = pass_on(&node, &greeting.zone, stream, first, frames) => {}
-        () = answer(&node, asks, queue) => {}
+        () = send_frames(&node, &greeting.zone, stream, initial, frames) => {}
+        () = respond_to_queries(&node, queries, sender) => {}
     }
 }
 
-/// Passes on to a subscriber until it is let go, or gone.
-async fn pass_on<W: AsyncWriteRentExt>(
+/// Sends frames to a subscriber until it is dropped or disconnects.
+async fn send_frames<W: AsyncWriteRentExt>(
     node: &Node,
     zone: &str,
     mut stream: W,
     mut bytes: Vec<u8>,
-    mut frames: Frames,
+    mut frames: FrameReceiver,
 ) {
     loop {
-        count_passed_on(node, zone, bytes.len() as u64);
+        count_relayed(node, zone, bytes.len() as u64);
         if stream.write_all(bytes).await.0.is_err() {
             return;
         }
-        bytes = match monoio::time::timeout(ASKS_WITHIN, frames.next()).await {
+        bytes = match monoio::time::timeout(QUERY_TIMEOUT, frames.next()).await {
             Ok(Some(frame)) => frame.as_ref().clone(),
             Ok(None) | Err(_) => return,
         };
     }
 }
 
-/// Answers what a subscriber asks, behind all that was passed on before.
-async fn answer<R: AsyncReadRent>(node: &Node, mut asks: R, queue: Weak<Queue>) {
-    while let Ok(ask) = receive::<Ask, _>(&mut asks).await {
-        let frame = Rc::new(encode(&Frame::sure(&node.state.borrow(), ask)));
-        if !queue.upgrade().is_some_and(|queue| queue.push(frame)) {
+/// Responds to a subscriber's queries, behind all frames that were queued before.
+async fn respond_to_queries<R: AsyncReadRent>(
+    node: &Node,
+    mut queries: R,
+    sender: Weak<FrameSender>,
+) {
+    while let Ok(query) = receive::<AgeQuery, _>(&mut queries).await {
+        let frame = Rc::new(encode(&Frame::ages(&node.state.borrow(), query)));
+        if !sender.upgrade().is_some_and(|sender| sender.push(frame)) {
             return;
         }
     }
--- a/crates/edge/src/relay/subscribe.rs
+++ b/crates/edge/src/relay/subscribe.rs
@@ -1,4 +1,4 @@
-//! Reading the platform through a peer, and whom to ask.
+//! Reads the platform through a peer, and selects that peer.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -11,89 +11,92 @@
 use monoio::io::{AsyncWriteRentExt, Splitable};
 use monoio::net::TcpStream;
 
-use super::frame::{encode, receive, Ask, Frame, Greeting};
-use super::{FIRST_FRAME, LOOK, LOOK_IN_STEP};
+use super::frame::{encode, receive, AgeQuery, Frame, Greeting};
+use super::{FIRST_FRAME_TIMEOUT, READER_CHECK_INTERVAL, SYNC_CHECK_INTERVAL};
 use crate::as_ms;
 use crate::follow::{self, Topic};
 use crate::forward::Node;
-use crate::readers::{self, Way};
+use crate::readers::{self, ReadPath};
 use crate::state::State;
 
-/// A peer that says nothing for this long is given up: it is asked several times a second.
-const SILENT_FOR: Duration = Duration::from_millis(1_000);
+/// A peer that sends nothing for this long is given up: it gets several queries a second.
+const FRAME_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time for a peer to take the connection.
+/// Time allowed for a peer to accept the connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The same for a node that was restarted, and for the connection: callers wait for it. Between zones
-/// of a region a connection takes 3 ms; a machine that has no power answers nothing.
-const FIRST_FRAME_RESTARTED: Duration = Duration::from_millis(250);
-const CONNECT_TIMEOUT_RESTARTED: Duration = Duration::from_millis(20);
+/// Timeouts of a node that was restarted: callers are waiting for it. Between zones of a region a
+/// connection takes 3 ms; a machine without power never responds.
+const RESTART_FIRST_FRAME_TIMEOUT: Duration = Duration::from_millis(250);
+const RESTART_CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A peer that failed is not asked again for this long. Shorter, nodes would connect to readers that
-/// are down again and again; longer, a node whose cut has healed would be late to be in step.
-const AVOID_FOR: Duration = Duration::from_secs(1);
+/// Time for which a peer that failed is not tried again. With a shorter time nodes would connect
+/// to failed readers over and over; with a longer one a node would be up to date late after a
+/// partition.
+const PEER_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The same for a peer that let this node go, or does not listen yet while the whole fleet starts:
-/// it is most likely back within a few tenths of a second.
-const AVOID_FOR_A_MOMENT: Duration = Duration::from_millis(100);
+/// Same as [`PEER_BACKOFF`] for a peer that dropped this node, or does not listen yet while the
+/// whole fleet starts: it is most likely back within a few tenths of a second.
+const SHORT_PEER_BACKOFF: Duration = Duration::from_millis(100);
 
-/// How often a node looks whether it is still sure of what its peer passed on.
-const LOOK_IF_SURE: Duration = Duration::from_millis(50);
+/// Interval at which a node checks that its leases on the peer's data are still valid.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A reader that the platform turned away tries it again after this long.
-const TRY_AGAIN: Duration = Duration::from_millis(1_500);
+/// Time after which a reader that the platform rejected tries the platform again.
+const PLATFORM_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Sees to it that this node reads the platform the way it should, forever.
+/// Keeps this node reading the platform the way it should, forever.
 pub async fn run(node: Rc<Node>) {
-    let mut avoided: HashMap<SocketAddr, Instant> = HashMap::new();
-    // When the newest frame came from a peer; a node that starts may look for a peer first, too.
-    let mut fed_until = Instant::now();
-    let mut named: Option<SocketAddr> = None;
+    let mut excluded: HashMap<SocketAddr, Instant> = HashMap::new();
+    // Time of the newest frame from a peer; a starting node may look for a peer first, too.
+    let mut last_frame_at = Instant::now();
+    let mut next_referral: Option<SocketAddr> = None;
     loop {
         let now = Instant::now();
-        avoided.retain(|_, until| *until > now);
-        let referred = named.take();
-        let way = match referred {
-            Some(peer) => Way::Via(peer),
+        excluded.retain(|_, until| *until > now);
+        let referral = next_referral.take();
+        let path = match referral {
+            Some(peer) => ReadPath::Via(peer),
             None => {
                 let state = &mut *node.state.borrow_mut();
                 state.direct |= state.is_in_step() && !state.is_sure_of_all(now);
-                let searching = now < fed_until + readers::switch_within(state);
-                readers::choose(state, &avoided, searching, now)
+                let searching = now < last_frame_at + readers::switch_timeout(state);
+                readers::choose(state, &excluded, searching, now)
             }
         };
-        match way {
-            Way::Direct => {
+        match path {
+            ReadPath::Direct => {
                 node.state.borrow_mut().direct = true;
-                monoio::time::sleep(LOOK).await;
+                monoio::time::sleep(READER_CHECK_INTERVAL).await;
             }
-            Way::Later => monoio::time::sleep(LOOK_IN_STEP).await,
-            Way::Via(peer) => {
-                let began = Instant::now();
-                let ended = subscribe(&node, peer, referred.is_some(), &mut fed_until).await;
+            ReadPath::Deferred => monoio::time::sleep(SYNC_CHECK_INTERVAL).await,
+            ReadPath::Via(peer) => {
+                let started_at = Instant::now();
+                let end_reason =
+                    subscribe(&node, peer, referral.is_some(), &mut last_frame_at).await;
                 trace::Line::new("peer_feed_ended")
                     .field("peer", peer)
-                    .field("reason", ended.reason())
-                    .field("took_ms", as_ms(began.elapsed()))
+                    .field("reason", end_reason.name())
+                    .field("took_ms", as_ms(started_at.elapsed()))
                     .log();
                 let mut state = node.state.borrow_mut();
                 state.reads_through = None;
-                let search_is_over = fed_until.elapsed() > readers::switch_within(&state);
-                if ended == Ended::Moved {
-                    // Whether the platform answers is found out anew.
+                let search_is_over = last_frame_at.elapsed() > readers::switch_timeout(&state);
+                if end_reason == EndReason::ReaderChanged {
+                    // The platform's reachability is determined anew.
                     state.roster.reset_store_state();
                     continue;
                 }
-                if let Ended::Referred(peer) = ended {
-                    named = Some(peer);
+                if let EndReason::Referred(peer) = end_reason {
+                    next_referral = Some(peer);
                     continue;
                 }
-                let starts = state.settings.first_start && !state.is_in_step();
-                let soon_back = ended == Ended::Closed || starts;
-                let avoid_for = if soon_back { AVOID_FOR_A_MOMENT } else { AVOID_FOR };
-                avoided.insert(peer, Instant::now() + avoid_for);
-                state.direct |= search_is_over || matches!(ended, Ended::Behind | Ended::Unsure);
+                let is_first_start = state.settings.first_start && !state.is_in_step();
+                let is_soon_back = end_reason == EndReason::Closed || is_first_start;
+                let backoff = if is_soon_back { SHORT_PEER_BACKOFF } else { PEER_BACKOFF };
+                excluded.insert(peer, Instant::now() + backoff);
+                state.direct |= search_is_over
+                    || matches!(end_reason, EndReason::Behind | EndReason::LeaseExpired);
             }
         }
     }
@@ -101,184 +104,186 @@
 
 /// Why a subscription ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
-    /// The peer took no connection.
+enum EndReason {
+    /// The peer did not accept the connection.
     Unreachable,
-    /// The peer took the connection and passed nothing on in time.
-    NoAnswer,
-    /// The peer closed before it had passed anything on: it may not, or does not hold enough.
-    TurnedAway,
-    /// The peer passed something on and then said nothing any more.
+    /// The peer accepted the connection and sent no frame in time.
+    NoResponse,
+    /// The peer closed the connection before the first frame: it may not relay, or lacks newer
+    /// state.
+    Rejected,
+    /// The peer sent frames and then went silent.
     Silent,
-    /// The peer sent what is no frame, or none that belongs here.
-    Unreadable,
-    /// The peer passed something on and then closed: it has lost the platform, or ends.
+    /// The peer sent an invalid or unexpected frame.
+    InvalidFrame,
+    /// The peer sent frames and then closed the connection: it lost the platform or is stopping.
     Closed,
     /// The peer has seen less than this node or others.
     Behind,
-    /// The peer lives, but nobody can tell that it has missed nothing.
-    Unsure,
-    /// The peer is no longer the one to ask.
-    Moved,
-    /// The peer named another one to ask.
+    /// The peer is alive, but the leases on its data have expired.
+    LeaseExpired,
+    /// This node should read through another peer, or directly.
+    ReaderChanged,
+    /// The peer referred this node to another one.
     Referred(SocketAddr),
 }
 
-impl Ended {
-    fn reason(self) -> &'static str {
+impl EndReason {
+    fn name(self) -> &'static str {
         match self {
-            Ended::Unreachable => "unreachable",
-            Ended::NoAnswer => "no_answer",
-            Ended::TurnedAway => "turned_away",
-            Ended::Silent => "silent",
-            Ended::Unreadable => "unreadable",
-            Ended::Closed => "closed",
-            Ended::Behind => "behind",
-            Ended::Unsure => "unsure",
-            Ended::Moved => "moved",
-            Ended::Referred(_) => "referred",
+            EndReason::Unreachable => "unreachable",
+            EndReason::NoResponse => "no_answer",
+            EndReason::Rejected => "turned_away",
+            EndReason::Silent => "silent",
+            EndReason::InvalidFrame => "unreadable",
+            EndReason::Closed => "closed",
+            EndReason::Behind => "behind",
+            EndReason::LeaseExpired => "unsure",
+            EndReason::ReaderChanged => "moved",
+            EndReason::Referred(_) => "referred",
         }
     }
 }
 
-/// Takes what `peer` passes on, until it should be asked no longer; `fed_until` is set whenever it
-/// passed something on.
+/// Applies the frames of `peer` until the subscription ends; sets `last_frame_at` with each frame.
 async fn subscribe(
     node: &Rc<Node>,
     peer: SocketAddr,
     was_referred: bool,
-    fed_until: &mut Instant,
-) -> Ended {
-    let restarts = {
+    last_frame_at: &mut Instant,
+) -> EndReason {
+    let is_restarted = {
         let state = node.state.borrow();
         !state.settings.first_start && !state.is_in_step()
     };
-    let (connect_timeout, mut patience) = match restarts {
-        true => (CONNECT_TIMEOUT_RESTARTED, FIRST_FRAME_RESTARTED),
-        false => (CONNECT_TIMEOUT, FIRST_FRAME),
+    let (connect_timeout, mut frame_timeout) = match is_restarted {
+        true => (RESTART_CONNECT_TIMEOUT, RESTART_FIRST_FRAME_TIMEOUT),
+        false => (CONNECT_TIMEOUT, FIRST_FRAME_TIMEOUT),
     };
     let connecting = monoio::time::timeout(connect_timeout, TcpStream::connect_addr(peer));
-    let Ok(Ok(stream)) = connecting.await else { return Ended::Unreachable };
+    let Ok(Ok(stream)) = connecting.await else { return EndReason::Unreachable };
     let greeting = encode(&Greeting::of(&node.state.borrow(), was_referred));
     let (mut frames, mut stream) = stream.into_split();
-    let began = Instant::now();
+    let started_at = Instant::now();
     if stream.write_all(greeting).await.0.is_err() {
-        return Ended::TurnedAway;
+        return EndReason::Rejected;
     }
-    // Set once the peer has said as of when it knows everything.
-    let fed = Cell::new(false);
-    let mut asking = pin!(ask(node, stream, began));
-    let mut config_behind = pin!(follow::behind(node, Topic::Config));
-    let mut list_behind = pin!(follow::behind(node, Topic::Upstreams));
-    let mut unsure = pin!(until_unsure(node, &fed));
-    let mut moved = pin!(until_moved(node, peer));
+    // Set once the peer has reported as of when its data is complete.
+    let has_data = Cell::new(false);
+    let mut querying = pin!(send_queries(node, stream, started_at));
+    let mut config_behind = pin!(follow::wait_until_behind(node, Topic::Config));
+    let mut list_behind = pin!(follow::wait_until_behind(node, Topic::Upstreams));
+    let mut lease_expired = pin!(wait_until_lease_expires(node, &has_data));
+    let mut reader_changed = pin!(wait_until_reader_changes(node, peer));
     loop {
         let frame = monoio::select! {
-            frame = monoio::time::timeout(patience, receive::<Frame, _>(&mut frames)) => frame,
-            () = &mut asking => return Ended::Closed,
-            () = &mut config_behind => return Ended::Behind,
-            () = &mut list_behind => return Ended::Behind,
-            () = &mut unsure => return Ended::Unsure,
-            () = &mut moved => return Ended::Moved,
+            frame = monoio::time::timeout(frame_timeout, receive::<Frame, _>(&mut frames)) => frame,
+            () = &mut querying => return EndReason::Closed,
+            () = &mut config_behind => return EndReason::Behind,
+            () = &mut list_behind => return EndReason::Behind,
+            () = &mut lease_expired => return EndReason::LeaseExpired,
+            () = &mut reader_changed => return EndReason::ReaderChanged,
         };
         let frame = match frame {
             Ok(Ok(frame)) => frame,
-            Ok(Err(err)) if err.kind() == io::ErrorKind::InvalidData => return Ended::Unreadable,
-            Ok(Err(_)) if fed.get() => {
-                *fed_until = Instant::now();
-                return Ended::Closed;
+            Ok(Err(err)) if err.kind() == io::ErrorKind::InvalidData => {
+                return EndReason::InvalidFrame
             }
-            Ok(Err(_)) => return Ended::TurnedAway,
-            Err(_) if fed.get() => return Ended::Silent,
-            Err(_) => return Ended::NoAnswer,
+            Ok(Err(_)) if has_data.get() => {
+                *last_frame_at = Instant::now();
+                return EndReason::Closed;
+            }
+            Ok(Err(_)) => return EndReason::Rejected,
+            Err(_) if has_data.get() => return EndReason::Silent,
+            Err(_) => return EndReason::NoResponse,
         };
         match frame {
-            Frame::Ask { peer } if !was_referred => return Ended::Referred(peer),
-            // Peers that name each other would keep this node busy asking them.
-            Frame::Ask { .. } => return Ended::TurnedAway,
+            Frame::Referral { peer } if !was_referred => return EndReason::Referred(peer),
+            // Peers that refer to each other would keep this node busy connecting to them.
+            Frame::Referral { .. } => return EndReason::Rejected,
             _ => {}
         }
         if frame.is_stale(&node.state.borrow()) {
-            return Ended::Behind;
+            return EndReason::Behind;
         }
-        *fed_until = Instant::now();
+        *last_frame_at = Instant::now();
         match frame {
-            Frame::Sure { asked_after, config_age, list_age } => {
-                let asked_at = began.checked_add(asked_after);
-                let Some(asked_at) = asked_at.filter(|at| *at <= Instant::now()) else {
+            Frame::Ages { asked_after, config_age, list_age } => {
+                let queried_at = started_at.checked_add(asked_after);
+                let Some(queried_at) = queried_at.filter(|at| *at <= Instant::now()) else {
                     trace::Line::new("peer_frame_refused")
                         .field("error", "answers what was not asked")
                         .log();
-                    return Ended::Unreadable;
+                    return EndReason::InvalidFrame;
                 };
                 let state = &mut *node.state.borrow_mut();
-                renew(state, Topic::Config, asked_at, config_age);
-                renew(state, Topic::Upstreams, asked_at, list_age);
+                renew_lease(state, Topic::Config, queried_at, config_age);
+                renew_lease(state, Topic::Upstreams, queried_at, list_age);
                 (state.direct, state.reads_through) = (false, Some(peer));
                 state.list_is_own = false;
-                patience = SILENT_FOR;
-                fed.set(true);
+                frame_timeout = FRAME_TIMEOUT;
+                has_data.set(true);
             }
             frame => {
                 if let Err(err) = follow::adopt(node, peer, frame) {
                     trace::Line::new("peer_frame_refused").field("error", err.to_string()).log();
-                    return Ended::Unreadable;
+                    return EndReason::InvalidFrame;
                 }
             }
         }
     }
 }
 
-/// Takes how old what a peer knows of a topic was when it was asked.
-fn renew(state: &mut State, topic: Topic, asked_at: Instant, age: Option<Duration>) {
-    let as_of = age.and_then(|age| asked_at.checked_sub(age));
+/// Renews the lease on a topic, given how old the peer's data was at the time of the query.
+fn renew_lease(state: &mut State, topic: Topic, queried_at: Instant, age: Option<Duration>) {
+    let as_of = age.and_then(|age| queried_at.checked_sub(age));
     as_of.into_iter().for_each(|as_of| state.seen_mut(topic).lease.renew(as_of));
 }
 
-/// Asks the peer again and again as of when it knows everything; ends when it takes no more.
-async fn ask<W: AsyncWriteRentExt>(node: &Node, mut stream: W, began: Instant) {
+/// Sends freshness queries to the peer periodically; returns when the connection fails.
+async fn send_queries<W: AsyncWriteRentExt>(node: &Node, mut stream: W, started_at: Instant) {
     loop {
-        let every = {
+        let interval = {
             let settings = &node.state.borrow().settings;
             settings
                 .config_bound
                 .peer_query_interval()
                 .min(settings.list_bound.peer_query_interval())
         };
-        monoio::time::sleep(every).await;
-        let ask = Ask { asked_after: began.elapsed() };
-        if stream.write_all(encode(&ask)).await.0.is_err() {
+        monoio::time::sleep(interval).await;
+        let query = AgeQuery { asked_after: started_at.elapsed() };
+        if stream.write_all(encode(&query)).await.0.is_err() {
             return;
         }
     }
 }
 
-/// Ends once the node is no longer sure that what its peer passed on is everything; one that its peer
-/// has passed nothing on to yet reads the platform itself meanwhile.
+/// Returns once a lease on the peer's data has expired. A node that has received no data from its
+/// peer yet starts to read the platform itself instead.
 ///
-/// A peer may live and answer while its own wait at the platform has gone silent, and where all
-/// readers' waits have, no other node can tell of what was missed.
-async fn until_unsure(node: &Node, fed: &Cell<bool>) {
+/// A peer may be alive and respond while its own long poll has gone silent; if the long polls of
+/// all readers have, no other node can tell that changes were missed.
+async fn wait_until_lease_expires(node: &Node, has_data: &Cell<bool>) {
     loop {
-        monoio::time::sleep(LOOK_IF_SURE).await;
+        monoio::time::sleep(LEASE_CHECK_INTERVAL).await;
         let state = &mut *node.state.borrow_mut();
         match state.is_sure_of_all(Instant::now()) {
             true => {}
-            false if fed.get() => return,
-            // A node that starts looks for a peer first.
+            false if has_data.get() => return,
+            // A starting node looks for a peer first.
             false => state.direct |= state.is_in_step(),
         }
     }
 }
 
-/// Ends when other nodes are the readers of this node's zone, or this node is one itself.
+/// Returns when other nodes have become the readers of this node's zone, or this node has.
 ///
-/// A reader that the platform turned away tries again after a while: were all
-/// readers to wait for each other, none would see that the platform is back.
-async fn until_moved(node: &Node, peer: SocketAddr) {
+/// A reader that the platform rejected tries it again after a while: if all readers read through
+/// each other, none would notice that the platform is back.
+async fn wait_until_reader_changes(node: &Node, peer: SocketAddr) {
     let since = Instant::now();
     loop {
-        monoio::time::sleep(LOOK).await;
+        monoio::time::sleep(READER_CHECK_INTERVAL).await;
         let state = node.state.borrow();
         let now = Instant::now();
         if readers::has_nearer_seed(&state, peer, now) {
@@ -287,11 +292,12 @@
         if !readers::knows_peers(&state, now) {
             continue;
         }
-        let me_first = readers::is_reader(&state, state.settings.peer_addr);
-        let turned_away = state.roster.store_is_unreachable() && since.elapsed() < TRY_AGAIN;
-        let nothing_else = !state.is_ready() || since.elapsed() < TRY_AGAIN;
-        let other = !readers::is_reader(&state, peer) && !nothing_else;
-        if (me_first && !turned_away) || other {
+        let reads_directly = readers::is_reader(&state, state.settings.peer_addr);
+        let is_rejected =
+            state.roster.store_is_unreachable() && since.elapsed() < PLATFORM_RETRY_INTERVAL;
+        let has_no_alternative = !state.is_ready() || since.elapsed() < PLATFORM_RETRY_INTERVAL;
+        let peer_is_no_reader = !readers::is_reader(&state, peer) && !has_no_alternative;
+        if (reads_directly && !is_rejected) || peer_is_no_reader {
             return;
         }
     }
--- a/crates/edge/src/relay/subscribers.rs
+++ b/crates/edge/src/relay/subscribers.rs
@@ -10,140 +10,141 @@
 use smol_str::SmolStr;
 
 use super::frame::{encode, Frame};
-use super::newcomers::Newcomers;
+use super::newcomers::NewNodes;
 use crate::state::State;
 
-/// Frames that wait for one subscriber; one that takes them more slowly is dropped and asks anew.
-const FRAMES_WAITING: usize = 64;
+/// Maximum number of frames queued for a subscriber. A slower one is dropped and connects again.
+const MAX_QUEUED_FRAMES: usize = 64;
 
-/// Peers that are told of changes.
+/// Peers that receive this node's state and its changes.
 #[derive(Default)]
 pub struct Subscribers {
-    queues: RefCell<Vec<Rc<Queue>>>,
-    /// The upstreams, encoded, until something changes about them.
+    senders: RefCell<Vec<Rc<FrameSender>>>,
+    /// The encoded list of upstreams; `None` after a change.
     entries: RefCell<Option<Vec<u8>>>,
-    /// Peers that have asked for more than this node has read.
-    asking: Cell<usize>,
-    newcomers: RefCell<Newcomers>,
+    /// Number of peers that wait for state that this node has not read yet.
+    pending: Cell<usize>,
+    new_nodes: RefCell<NewNodes>,
 }
 
-/// Counts a peer among those that ask for more than this node has read, while it lives.
-pub(super) struct Asking<'a>(&'a Cell<usize>);
+/// Counts a peer as pending while it is alive.
+pub(super) struct Pending<'a>(&'a Cell<usize>);
 
-impl Drop for Asking<'_> {
+impl Drop for Pending<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// The frames on their way to one subscriber.
-pub(super) struct Frames {
+/// Receives the frames that are queued for one subscriber.
+pub(super) struct FrameReceiver {
     frames: unbounded::Rx<Rc<Vec<u8>>>,
-    waiting: Rc<Cell<usize>>,
+    queued: Rc<Cell<usize>>,
 }
 
-impl Frames {
-    /// Returns the next frame, encoded; `None` once the subscriber is let go.
+impl FrameReceiver {
+    /// Returns the next encoded frame; `None` once the subscriber is dropped.
     pub(super) async fn next(&mut self) -> Option<Rc<Vec<u8>>> {
         let frame = self.frames.recv().await?;
-        self.waiting.set(self.waiting.get() - 1);
+        self.queued.set(self.queued.get() - 1);
         Some(frame)
     }
 }
 
-/// Encoded frames on their way to one subscriber.
-pub(super) struct Queue {
+/// Queues encoded frames for one subscriber.
+pub(super) struct FrameSender {
     frames: unbounded::Tx<Rc<Vec<u8>>>,
-    waiting: Rc<Cell<usize>>,
+    queued: Rc<Cell<usize>>,
 }
 
-impl Queue {
-    /// Adds a frame; false when the subscriber is gone or too slow.
+impl FrameSender {
+    /// Queues a frame; returns false if the subscriber is gone or too slow.
     pub(super) fn push(&self, frame: Rc<Vec<u8>>) -> bool {
-        self.waiting.set(self.waiting.get() + 1);
-        self.waiting.get() <= FRAMES_WAITING && self.frames.send(frame).is_ok()
+        self.queued.set(self.queued.get() + 1);
+        self.queued.get() <= MAX_QUEUED_FRAMES && self.frames.send(frame).is_ok()
     }
 }
 
 impl Subscribers {
-    /// Returns the frame of the whole list.
+    /// Returns the frame with the complete list of upstreams.
     ///
-    /// At 3,000 upstreams it is 0.3 MB. Encoded anew for each of a hundred nodes that turn to the
-    /// same reader at once, it would keep a fifth of a core busy for a second; the reader would be
-    /// taken for dead.
-    pub(super) fn list(&self, state: &State) -> Frame {
+    /// At 3,000 upstreams it takes 0.3 MB. If it were encoded for each of a hundred nodes that
+    /// connect to the same reader at once, it would keep a fifth of a core busy for a second, and
+    /// peers would consider the reader dead.
+    pub(super) fn list_frame(&self, state: &State) -> Frame {
         let encoded = || {
             let entries: Vec<&Entry> = state.roster.entries().collect();
             postcard::to_stdvec(&entries).expect("entries encode")
         };
         let entries = self.entries.borrow_mut().get_or_insert_with(encoded).clone();
-        // How far the list was read moves on also while the upstreams stay the same.
+        // The position advances even while the upstreams stay the same.
         let seen = state.list_seen;
         Frame::List { up_to: seen.up_to, newest: seen.newest, entries }
     }
 
-    /// Forgets the encoded list: it has changed.
-    pub fn list_changed(&self) {
+    /// Discards the encoded list after a change of upstreams.
+    pub fn invalidate_list(&self) {
         self.entries.borrow_mut().take();
     }
 
-    /// Tells all subscribers; those that are too slow are dropped.
-    pub fn tell(&self, frame: &Frame) {
-        let mut queues = self.queues.borrow_mut();
-        if queues.is_empty() {
+    /// Sends a frame to all subscribers; drops those that are too slow.
+    pub fn broadcast(&self, frame: &Frame) {
+        let mut senders = self.senders.borrow_mut();
+        if senders.is_empty() {
             return;
         }
         let bytes = Rc::new(encode(frame));
-        queues.retain(|queue| queue.push(bytes.clone()));
+        senders.retain(|sender| sender.push(bytes.clone()));
     }
 
-    /// Adds a subscriber; returns where its frames go in, until it is let go, and where they come out.
-    pub(super) fn add(&self) -> (Weak<Queue>, Frames) {
-        let (queue, frames) = unbounded::channel();
-        let waiting = Rc::new(Cell::new(0));
-        let queue = Rc::new(Queue { frames: queue, waiting: waiting.clone() });
-        let weak = Rc::downgrade(&queue);
-        self.queues.borrow_mut().push(queue);
-        (weak, Frames { frames, waiting })
+    /// Adds a subscriber; returns both ends of its queue. The sender is gone once the subscriber
+    /// is dropped.
+    pub(super) fn add(&self) -> (Weak<FrameSender>, FrameReceiver) {
+        let (sender, frames) = unbounded::channel();
+        let queued = Rc::new(Cell::new(0));
+        let sender = Rc::new(FrameSender { frames: sender, queued: queued.clone() });
+        let weak = Rc::downgrade(&sender);
+        self.senders.borrow_mut().push(sender);
+        (weak, FrameReceiver { frames, queued })
     }
 
-    /// Counts a peer as asking while what this returns lives.
-    pub(super) fn asking(&self) -> Asking<'_> {
-        self.asking.set(self.asking.get() + 1);
-        Asking(&self.asking)
+    /// Counts a peer as pending until the returned guard is dropped.
+    pub(super) fn count_pending(&self) -> Pending<'_> {
+        self.pending.set(self.pending.get() + 1);
+        Pending(&self.pending)
     }
 
-    /// Returns whom the newcomer at `addr` should ask instead of this node.
+    /// Returns the node that the new node at `addr` is referred to, if it is not served here.
     pub(super) fn refer(
         &self,
         addr: SocketAddr,
         zone: &SmolStr,
         now: Instant,
     ) -> Option<SocketAddr> {
-        self.newcomers.borrow_mut().refer(addr, zone, now)
+        self.new_nodes.borrow_mut().refer(addr, zone, now)
     }
 
-    /// Returns how many nodes read through this one.
+    /// Returns the number of nodes that read through this one.
     pub fn count(&self) -> usize {
-        self.queues.borrow().len()
+        self.senders.borrow().len()
     }
 
-    /// Returns true when nobody reads through this node.
+    /// Returns true if no node reads through this one.
     pub fn is_empty(&self) -> bool {
         self.count() == 0
     }
 
-    /// Returns true when peers read through this node, or ask for more than it has read.
-    pub fn are_waiting(&self) -> bool {
-        !self.is_empty() || self.asking.get() > 0
+    /// Returns true if peers read through this node, or wait for state that it has not read yet.
+    pub fn is_in_use(&self) -> bool {
+        !self.is_empty() || self.pending.get() > 0
     }
 
-    /// Lets all subscribers go; they turn to another reader. `may_be_late` tells that this one
-    /// noticed late that it hears no more: they then read the platform themselves at once.
+    /// Drops all subscribers; they connect to another reader. With `may_be_late`, this node
+    /// noticed late that it receives no changes, and they read the platform themselves at once.
     pub fn drop_all(&self, may_be_late: bool) {
         if may_be_late {
-            self.tell(&Frame::MayBeLate);
+            self.broadcast(&Frame::MayBeLate);
         }
-        self.queues.borrow_mut().clear();
+        self.senders.borrow_mut().clear();
     }
 }
--- a/crates/edge/src/tests/fleet.rs
+++ b/crates/edge/src/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Entry nodes that follow a platform which counts its calls, and read it through each other.
+//! Entry nodes that follow a simulated platform which counts its calls, and read it through each
+//! other.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -37,7 +38,7 @@
     }
 }
 
-/// A node in zone `a` at `me` that serves, with serving peers.
+/// Returns a node in zone `a` at `me` that serves, with serving peers.
 pub fn state_at(me: SocketAddr, peers: &[(u8, &str)]) -> State {
     let mut settings = settings();
     settings.peer_addr = me;
@@ -52,7 +53,7 @@
     state
 }
 
-/// A platform that counts waits for changes.
+/// A platform that counts its calls and can fail in several ways.
 #[derive(Clone, Default)]
 pub struct Platform {
     pub config: Rc<Cell<Cursor>>,
@@ -63,13 +64,13 @@
     pub waits: Rc<Cell<u32>>,
     pub snapshots: Rc<Cell<u32>>,
     pub cut: Rc<Cell<bool>>,
-    /// Takes calls and answers none of them.
+    /// Accepts calls and responds to none of them.
     pub silent: Rc<Cell<bool>>,
-    /// Raised, all waits under way go silent for good, without a sign.
+    /// When incremented, all long polls in flight go silent for good, without an error.
     pub stalls: Rc<Cell<u32>>,
-    /// The list of upstreams is not answered.
+    /// Does not respond to requests for the list of upstreams.
     pub list_is_silent: Rc<Cell<bool>>,
-    /// Refuses each call, and waits under way.
+    /// Rejects every call, and long polls in flight.
     pub refuses: Rc<Cell<bool>>,
 }
 
@@ -112,21 +113,21 @@
         topic: Topic,
         cursor: Cursor,
         wait: Duration,
-        patience: Duration,
+        grace: Duration,
     ) -> Result<Batch, SourceError> {
         self.waits.set(self.waits.get() + 1);
-        let (asked_at, stalls) = (Instant::now(), self.stalls.get());
+        let (started_at, stalls) = (Instant::now(), self.stalls.get());
         let refused = || Err(SourceError::Unavailable("status 503".into()));
         if self.refuses.get() {
             return refused();
         }
         if topic == Topic::Upstreams && self.list_is_silent.get() {
-            monoio::time::sleep(wait + patience).await;
+            monoio::time::sleep(wait + grace).await;
             return Err(SourceError::Unavailable("timed out".into()));
         }
         loop {
             if self.stalls.get() > stalls {
-                monoio::time::sleep((wait + patience).saturating_sub(asked_at.elapsed())).await;
+                monoio::time::sleep((wait + grace).saturating_sub(started_at.elapsed())).await;
                 return Err(SourceError::Unavailable("timed out".into()));
             }
             if self.refuses.get() {
@@ -136,7 +137,7 @@
             if batch.cursor > cursor && !self.cut.get() {
                 return Ok(batch);
             }
-            if asked_at.elapsed() >= wait {
+            if started_at.elapsed() >= wait {
                 return Ok(Batch { events: Vec::new(), cursor, newest: 0 });
             }
             monoio::time::sleep(ms(5)).await;
@@ -151,22 +152,22 @@
     }
 }
 
-/// Starts a node that follows `platform`, with its relay; returns it and where peers reach it.
+/// Starts a node that follows `platform`, with its relay; returns it and its peer address.
 pub fn start(platform: &Platform) -> (Rc<Node>, SocketAddr) {
     start_with(platform, "127.0.0.1:0".parse().expect("an address"), |_| {})
 }
 
-/// The same at `at`, with other settings.
+/// Same as [`start`], at the given address and with changed settings.
 pub fn start_with(
     platform: &Platform,
     at: SocketAddr,
-    change: impl FnOnce(&mut crate::Settings),
+    configure: impl FnOnce(&mut crate::Settings),
 ) -> (Rc<Node>, SocketAddr) {
     let listener = TcpListener::bind(at).expect("binds");
     let at = listener.local_addr().expect("bound");
     let mut settings = settings();
     settings.peer_addr = at;
-    change(&mut settings);
+    configure(&mut settings);
     let node = Rc::new(Node::new(Rc::new(RefCell::new(State::new(settings))), metrics()));
     for topic in [Topic::Config, Topic::Upstreams] {
         monoio::spawn(follow::run(platform.clone(), topic, node.clone()));
@@ -185,17 +186,17 @@
     platform
 }
 
-/// An address that no other test listens on: all others are on 127.0.0.1, where a port that was
-/// given back may be given to another test at once.
+/// Returns an address that no other test listens on. All others use 127.0.0.1, where a released
+/// port may be assigned to another test at once.
 pub fn own_addr(n: u8) -> SocketAddr {
     SocketAddr::from(([127, 0, 77, n], 7_600))
 }
 
 /// Waits until a node reads the platform through a peer.
 pub async fn until_subscribed(node: &Node) {
-    let asked_at = Instant::now();
+    let started_at = Instant::now();
     while node.state.borrow().direct {
-        assert!(asked_at.elapsed() < ms(5_000), "never subscribed");
+        assert!(started_at.elapsed() < ms(5_000), "never subscribed");
         monoio::time::sleep(ms(20)).await;
     }
 }
--- a/crates/edge/src/tests/large.rs
+++ b/crates/edge/src/tests/large.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform, and who writes records, in fleets of hundreds of nodes.
+//! Which nodes read the platform and write records, in fleets of hundreds of nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,23 +11,23 @@
 
 use super::fake::{settings, table};
 use super::fleet::entry;
-use crate::readers::{self, Way};
+use crate::readers::{self, ReadPath};
 use crate::record;
 use crate::state::{Peer, State};
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-/// The nodes of a fleet of `nodes`, in turn in each zone.
+/// Returns the nodes of a fleet of `nodes`, assigned to the zones in turn.
 fn fleet(nodes: u16) -> Vec<(SocketAddr, &'static str)> {
     let addr = |n: u16| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 7_600));
     (0..nodes).map(|n| (addr(n), ZONES[usize::from(n) % ZONES.len()])).collect()
 }
 
-/// The node at `me`, which serves, has heard of all others, and from a part of them.
+/// Returns the node at `me`, which serves, has heard of all others, and from a part of them.
 fn serving_node(
     fleet: &[(SocketAddr, &str)],
     me: (SocketAddr, &str),
-    heard_part: f64,
+    heard_ratio: f64,
     rng: &mut StdRng,
 ) -> State {
     let mut settings = settings();
@@ -38,7 +38,7 @@
     state.config_seen.read = true;
     state.list_seen.read = true;
     for (addr, zone) in fleet.iter().filter(|(addr, _)| *addr != me.0) {
-        let heard = rng.random_bool(heard_part);
+        let heard = rng.random_bool(heard_ratio);
         let head = if heard { 7 } else { 0 };
         let standing = Standing::Alive;
         let zone = (*zone).into();
@@ -48,35 +48,36 @@
     state
 }
 
-/// Symptom: a quiet day costs 4.5 calls to the platform a node, most of them in one second.
-/// Sequence: 312 nodes start. Membership tells each of all others within 3.5 s, but each has heard
-/// from some twenty only; then each chooses whom to read through.
-/// Cause: taking for readers only nodes that one has heard from: each node sees other readers, or is
-/// the first that it knows of.
+/// Guards against 4.5 platform calls a node on a quiet day, most of them in one second. 312 nodes
+/// start; membership announces all others to each within 3.5 s, but each has heard directly from
+/// about twenty when it chooses a reader. If only those counted as readers, each node would see
+/// other readers, or be the first that it knows of.
 #[test]
 fn nodes_that_have_heard_from_few_others_agree_on_the_readers() {
     let rng = &mut StdRng::seed_from_u64(1);
     let fleet = fleet(312);
     let now = Instant::now();
-    let ways: Vec<Way> = fleet
+    let paths: Vec<ReadPath> = fleet
         .iter()
         .map(|me| {
             let mut state = serving_node(&fleet, *me, 0.06, rng);
             readers::choose(&mut state, &HashMap::new(), false, now)
         })
         .collect();
-    let direct = ways.iter().filter(|way| **way == Way::Direct).count();
+    let direct = paths.iter().filter(|path| **path == ReadPath::Direct).count();
     assert_eq!(direct, ZONES.len());
-    for ((_, zone), way) in fleet.iter().zip(&ways) {
+    for ((_, zone), path) in fleet.iter().zip(&paths) {
         let first = fleet.iter().find(|(_, other)| other == zone).expect("a first of each zone");
-        assert!(matches!(way, Way::Direct) || *way == Way::Via(first.0), "{way:?} in {zone}");
+        assert!(
+            matches!(path, ReadPath::Direct) || *path == ReadPath::Via(first.0),
+            "{path:?} in {zone}"
+        );
     }
 }
 
-/// Symptom: a new configuration costs a call of each of some twenty nodes.
-/// Sequence: each of them has not heard from the first node of the fleet yet.
-/// Cause: taking oneself for the first among those that one has heard from.
-/// The other direction: a first node that lives but never serves must not keep records unwritten.
+/// Guards against a new configuration that costs a call of each of about twenty nodes, which have
+/// not heard from the first node of the fleet yet and consider themselves the first. A first node
+/// that is alive but never serves must not keep records unwritten either.
 #[yare::parameterized(
     presumed = { false, 0, Duration::ZERO, false },
     never_heard_for_long = { false, 0, Duration::from_secs(60), true },
--- a/crates/edge/src/tests/relay.rs
+++ b/crates/edge/src/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The platform read through peers.
+//! Nodes that read the platform through peers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -10,47 +10,50 @@
 use super::fleet::{addr, entry, platform, serving, start, state_at, until_subscribed, Platform};
 use crate::forward::Node;
 use crate::history::Cursor;
-use crate::readers::{self, Way};
+use crate::readers::{self, ReadPath};
 use crate::relay;
 use crate::state::{Peer, State};
 
-fn way(state: &mut State) -> Way {
+fn read_path(state: &mut State) -> ReadPath {
     readers::choose(state, &HashMap::new(), false, Instant::now())
 }
 
 #[yare::parameterized(
-    alone = { 5, &[], Way::Direct },
-    first_of_its_zone = { 1, &[(2, "a"), (3, "b"), (4, "c")], Way::Direct },
-    not_the_first = { 5, &[(2, "a"), (3, "b"), (4, "c")], Way::Via(addr(2)) },
-    one_zone_has_three_readers = { 3, &[(1, "a"), (2, "a"), (4, "a")], Way::Direct },
+    alone = { 5, &[], ReadPath::Direct },
+    first_of_its_zone = { 1, &[(2, "a"), (3, "b"), (4, "c")], ReadPath::Direct },
+    not_the_first = { 5, &[(2, "a"), (3, "b"), (4, "c")], ReadPath::Via(addr(2)) },
+    one_zone_has_three_readers = { 3, &[(1, "a"), (2, "a"), (4, "a")], ReadPath::Direct },
 )]
-fn a_few_nodes_per_zone_read_the_platform(me: u8, peers: &[(u8, &str)], expected: Way) {
-    assert_eq!(way(&mut state_at(addr(me), peers)), expected);
+fn a_few_nodes_per_zone_read_the_platform(me: u8, peers: &[(u8, &str)], expected: ReadPath) {
+    assert_eq!(read_path(&mut state_at(addr(me), peers)), expected);
 }
 
-/// Symptom: all readers wait for each other and nobody sees that the platform is back.
-/// Sequence: the platform resets every connection once; each reader turns to another reader.
-/// Cause: taking one lost connection for being turned away, and never trying again.
+/// Guards against readers that all read through each other, so that none notices that the platform
+/// is back. The platform resets every connection once; a single lost connection must not count as
+/// a rejection, and a reader must try the platform again.
 #[test]
-fn a_reader_asks_another_only_while_the_platform_turns_it_away() {
+fn a_reader_uses_another_reader_only_while_the_platform_rejects_it() {
     let mut state = state_at(addr(1), &[(3, "b")]);
     let now = Instant::now();
     state.roster.store_lost(now);
-    assert_eq!(readers::choose(&mut state, &HashMap::new(), false, now + ms(500)), Way::Direct);
+    assert_eq!(
+        readers::choose(&mut state, &HashMap::new(), false, now + ms(500)),
+        ReadPath::Direct
+    );
     let later = now + ms(1_500);
-    assert_eq!(readers::choose(&mut state, &HashMap::new(), false, later), Way::Via(addr(3)));
+    assert_eq!(readers::choose(&mut state, &HashMap::new(), false, later), ReadPath::Via(addr(3)));
     state.roster.reset_store_state();
-    assert_eq!(readers::choose(&mut state, &HashMap::new(), false, later), Way::Direct);
+    assert_eq!(readers::choose(&mut state, &HashMap::new(), false, later), ReadPath::Direct);
 }
 
 #[test]
-fn a_node_that_has_read_nothing_asks_the_platform() {
+fn a_node_without_state_reads_the_platform() {
     let mut state = state_at(addr(5), &[(2, "a")]);
     state.list_seen.read = false;
-    assert_eq!(way(&mut state), Way::Direct);
+    assert_eq!(read_path(&mut state), ReadPath::Direct);
 }
 
-/// Five nodes in one zone, which know each other; the first three by address are readers.
+/// Five nodes in one zone that know each other; the first three by address are readers.
 pub fn fleet(platform: &Platform) -> Vec<Rc<Node>> {
     let mut nodes: Vec<(Rc<Node>, SocketAddr)> = (0..5).map(|_| start(platform)).collect();
     nodes.sort_by_key(|(_, at)| *at);
@@ -62,9 +65,8 @@
     nodes.into_iter().map(|(node, _)| node).collect()
 }
 
-/// Symptom: each change costs a call to the platform per node.
-/// Sequence: five nodes know each other; configuration and upstreams change.
-/// Cause: every node waiting at the platform.
+/// Guards against a change that costs a platform call per node: five nodes know each other, and
+/// only the readers may long-poll the platform.
 #[test]
 fn changes_reach_every_node_through_the_readers() {
     run(async {
@@ -82,11 +84,11 @@
         }
         assert_eq!(nodes.iter().filter(|node| node.state.borrow().direct).count(), 3);
         let waits = platform.waits.get() - before;
-        assert!(waits <= 6, "{waits} new waits after two changes at three readers");
+        assert!(waits <= 6, "{waits} new long polls after two changes with three readers");
     });
 }
 
-/// A node that reads the platform itself and has two readers before it that cannot be reached.
+/// A node that reads the platform directly and has two unreachable readers before it.
 fn start_behind_unreachable_readers(platform: &Platform) -> Rc<Node> {
     let (node, _) = start(platform);
     node.state.borrow_mut().settings.peer_addr = SocketAddr::from(([127, 0, 0, 1], 65_535));
@@ -97,12 +99,12 @@
     node
 }
 
-/// Symptom: an outage of the platform of eight seconds costs 1,500 calls, five a node.
-/// Sequence: the platform falls silent; the readers let their subscribers go.
-/// Cause: asking for both topics at once, although one shows that neither is answered.
-/// The other direction: both are read once the platform answers.
+/// Guards against an outage of the platform of eight seconds that costs 1,500 calls, five a node:
+/// the platform goes silent, the readers drop their subscribers, and each requests both topics at
+/// once although one shows that the platform does not respond. Both topics must be read once it
+/// does.
 #[test]
-fn a_node_let_go_in_an_outage_asks_for_one_topic() {
+fn a_node_dropped_in_an_outage_reads_one_topic_first() {
     run(async {
         let platform = platform();
         let reader = start(&platform);
@@ -111,7 +113,7 @@
         let node = start_behind_unreachable_readers(&own);
         node.state.borrow_mut().peers.insert(reader.1, serving("a"));
         until_subscribed(&node).await;
-        // Its search for a peer after its start ends.
+        // The search for a peer after the start ends.
         monoio::time::sleep(ms(200)).await;
         own.silent.set(true);
         let before = own.snapshots.get();
@@ -126,32 +128,30 @@
     });
 }
 
-/// Symptom: two seconds after a restart of all nodes half of them read everything again.
-/// Sequence: a reader reads the list; it changes; others read it and then ask the reader to pass
-/// changes on, which has seen less than they have.
-/// Cause: a reader that waits for somebody to read through, and does not read on meanwhile.
+/// Guards against half of the nodes reading everything again two seconds after a restart of the
+/// whole fleet. A reader reads the list, which then changes; nodes that have read it since
+/// subscribe to the reader. It must read on meanwhile and not look for a node to read through.
 #[test]
-fn a_node_that_was_just_started_reads_on_once_a_peer_asks() {
+fn a_starting_node_reads_on_once_a_peer_subscribes() {
     run(async {
         let platform = platform();
         let reader = start(&platform);
         monoio::time::sleep(ms(100)).await;
         platform.list.borrow_mut().push(entry(2));
         platform.list_version.set(9);
-        let asked_at = Instant::now();
+        let started_at = Instant::now();
         let node = start_behind_unreachable_readers(&platform);
         node.state.borrow_mut().peers.insert(reader.1, serving("a"));
         while node.state.borrow().direct {
-            assert!(asked_at.elapsed() < ms(800), "not fed by a reader that has read less");
+            assert!(started_at.elapsed() < ms(800), "no data from a reader that has read less");
             monoio::time::sleep(ms(10)).await;
         }
         assert_eq!(reader.0.state.borrow().roster.len(), 2);
     });
 }
 
-/// Symptom: a restart of all nodes costs each of them a wait at the platform for each topic.
-/// Sequence: nodes know who reads for them, but the readers answer in the second second only.
-/// Cause: waiting at the platform after a second.
+/// Guards against a restart of the whole fleet that costs each node a long poll per topic: nodes
+/// know their readers, but these accept subscribers only in the second second.
 #[test]
 fn a_node_that_knows_of_readers_looks_for_one_longer() {
     run(async {
@@ -161,18 +161,18 @@
         node.state.borrow_mut().peers.insert(third, serving("a"));
         monoio::time::sleep(ms(1_600)).await;
         assert_eq!(platform.waits.get(), 0);
-        // It waits itself once its search is over.
+        // It long-polls itself once its search is over.
         monoio::time::sleep(ms(1_000)).await;
         assert!(platform.waits.get() > 0);
     });
 }
 
-/// Symptom: nodes send requests to upstreams that left seconds ago, and by an old configuration.
-/// Sequence: all readers are cut off from the platform at once, and not from their peers; their
-/// waits for changes hang; the configuration changes.
-/// Cause: nobody is ahead of anybody, so being behind cannot be told.
+/// Guards against nodes that use an old configuration and send requests to upstreams that left
+/// seconds ago. All readers are partitioned from the platform, but not from their peers; their
+/// long polls hang while the configuration changes. Nobody is ahead of anybody, so no node can
+/// tell that it is behind.
 #[test]
-fn readers_that_are_all_cut_off_let_their_subscribers_go() {
+fn partitioned_readers_drop_their_subscribers() {
     run(async {
         let reader_platform = platform();
         let reader = start(&reader_platform);
@@ -189,12 +189,12 @@
     });
 }
 
-/// Symptom: a node that had let an upstream go sends to it again, twelve seconds after it left.
-/// Sequence: a reader was cut off; an upstream left; the cut heals; the reader keeps the vanished
-/// entry for two seconds; a node that knows better subscribes to it.
-/// Cause: passing on what is only kept in case it comes back.
+/// Guards against a node that sends requests to an upstream it had dropped, twelve seconds after
+/// the upstream left. A reader was partitioned while the upstream left, and keeps the vanished
+/// entry for two seconds after the partition ends; it must not relay what it only keeps in case it
+/// comes back.
 #[test]
-fn upstreams_that_are_only_kept_are_not_passed_on() {
+fn upstreams_kept_through_an_outage_are_not_relayed() {
     run(async {
         let platform = platform();
         let (reader, at) = start(&platform);
@@ -215,16 +215,15 @@
         let node = Rc::new(Node::new(Rc::new(RefCell::new(state)), metrics()));
         monoio::spawn(relay::run(node.clone()));
         monoio::time::sleep(ms(1_500)).await;
-        assert!(node.state.borrow().pools.is_empty(), "nothing was taken from the reader");
+        assert!(node.state.borrow().pools.is_empty(), "no state was applied from the reader");
         assert!(node.state.borrow().direct);
     });
 }
 
-/// Symptom: a node that is restarted during an outage of the platform serves nobody until it ends.
-/// Sequence: the platform is away; a node starts; its peers hold configuration and upstreams.
-/// Cause: asking only the platform.
+/// Guards against a node that is restarted during an outage of the platform and serves nobody
+/// until the outage ends, because it asks only the platform although its peers have all state.
 #[test]
-fn a_node_started_during_an_outage_takes_what_its_peers_hold() {
+fn a_node_started_during_an_outage_gets_its_state_from_peers() {
     run(async {
         let platform = platform();
         let (peer, at) = start(&platform);
@@ -243,9 +242,8 @@
     });
 }
 
-/// Symptom: a node goes on sending to an upstream that left, through a reader that is cut off.
-/// Sequence: a reader stops hearing of changes but stays alive; others have seen more.
-/// Cause: trusting a peer because it is there.
+/// Guards against a node that keeps sending to an upstream that left, because it trusts a reader
+/// that is alive but partitioned: the reader hears of no changes while others have seen more.
 #[test]
 fn a_node_leaves_a_reader_that_has_fallen_behind() {
     run(async {
@@ -258,7 +256,7 @@
         node.state.borrow_mut().settings.peer_addr = SocketAddr::from(([127, 0, 0, 1], 65_535));
         {
             let mut state = node.state.borrow_mut();
-            // Three others come first, of which only the stale reader can be reached.
+            // Three others come first, of which only the stale reader is reachable.
             state.peers.insert(at, serving("a"));
             for n in 1..=2 {
                 state.peers.insert(SocketAddr::from(([127, 0, 0, 1], n)), serving("a"));
@@ -277,42 +275,40 @@
     the_own_zone_first = { &[], &[2] },
     then_another_zone = { &[2], &[3, 4] },
 )]
-fn a_node_whose_reader_failed_asks_one_of_another_zone(avoided: &[u8], expected: &[u8]) {
+fn a_node_whose_reader_failed_uses_one_of_another_zone(excluded: &[u8], expected: &[u8]) {
     let now = Instant::now();
-    let avoided = avoided.iter().map(|n| (addr(*n), now + ms(500))).collect();
+    let excluded = excluded.iter().map(|n| (addr(*n), now + ms(500))).collect();
     for _ in 0..20 {
         let mut state = state_at(addr(5), &[(2, "a"), (3, "b"), (4, "c")]);
-        let Way::Via(peer) = readers::choose(&mut state, &avoided, false, now) else {
+        let ReadPath::Via(peer) = readers::choose(&mut state, &excluded, false, now) else {
             panic!("no reader was chosen");
         };
         assert!(expected.iter().any(|n| addr(*n) == peer), "{peer}");
     }
 }
 
-/// Symptom: an outage of two seconds costs thousands of calls, all refused.
-/// Sequence: the platform is down; each of 150 nodes tries it again within 0.7 s.
-/// Cause: pauses that do not know how many others try too.
+/// Guards against an outage of two seconds that costs thousands of rejected calls: each of 150
+/// nodes retries within 0.7 s, since the backoff ignores how many others retry too.
 #[test]
-fn many_nodes_try_a_silent_platform_rarely_and_readers_often() {
-    let most = ms(700);
+fn many_nodes_retry_a_silent_platform_rarely_and_readers_often() {
+    let default_max = ms(700);
     let mut state = state_at(addr(250), &[]);
     for n in 1..150 {
         state.peers.insert(addr(n), serving("a"));
     }
-    assert!(readers::longest_pause(&state, most) > ms(2_000));
+    assert!(readers::max_retry_backoff(&state, default_max) > ms(2_000));
     state.settings.peer_addr = addr(0);
-    assert_eq!(readers::longest_pause(&state, most), most);
+    assert_eq!(readers::max_retry_backoff(&state, default_max), default_max);
     let mut small = state_at(addr(250), &[(1, "a"), (2, "a"), (3, "a")]);
-    assert_eq!(readers::longest_pause(&small, most), most);
+    assert_eq!(readers::max_retry_backoff(&small, default_max), default_max);
     small.list_seen.read = false;
-    assert_eq!(readers::longest_pause(&small, most), most);
+    assert_eq!(readers::max_retry_backoff(&small, default_max), default_max);
 }
 
-/// Symptom: when one reader is restarted or turned away, forty nodes read the platform at once.
-/// Sequence: a reader lets its subscribers go; another reader serves.
-/// Cause: going back to the platform before any other peer was asked.
+/// Guards against forty nodes that read the platform at once when one reader is restarted or
+/// rejected: a node that its reader drops must try another reader before it reads the platform.
 #[test]
-fn a_node_let_go_by_its_reader_turns_to_another_without_a_call() {
+fn a_node_dropped_by_its_reader_switches_without_a_platform_call() {
     run(async {
         let platform = platform();
         let readers = [start(&platform), start(&platform)];
@@ -337,19 +333,18 @@
         first.0.state.borrow_mut().roster.store_lost(Instant::now());
         first.0.subscribers.drop_all(false);
         monoio::time::sleep(ms(600)).await;
-        assert!(!second.0.subscribers.is_empty(), "the other reader was not asked");
+        assert!(!second.0.subscribers.is_empty(), "the node did not subscribe to the other reader");
         assert!(!node.state.borrow().direct);
         assert_eq!(own.snapshots.get(), before);
     });
 }
 
-/// Symptom: most nodes take themselves to be behind and read the platform, whenever upstreams warm
-/// up.
-/// Sequence: an upstream writes how much longer it is slow; readers tell each other of the newest
-/// change that they have read, and their subscribers nothing, as nothing follows from it.
-/// Cause: passing on changes only, not how far was read.
+/// Guards against most nodes considering themselves behind and reading the platform whenever
+/// upstreams warm up. An upstream writes its remaining warm-up time; readers tell each other the
+/// newest change that they have read. Their subscribers must hear of it too, although nothing else
+/// changes.
 #[test]
-fn subscribers_hear_how_far_was_read_when_nothing_changed() {
+fn subscribers_get_the_position_when_nothing_changed() {
     run(async {
         let platform = platform();
         platform.list.borrow_mut()[0].cold_for = ms(3_000);
@@ -365,12 +360,11 @@
     });
 }
 
-/// Symptom: a node that turns to a reader reads the platform at once instead.
-/// Sequence: the reader has sent its list to another node; it reads on, and nothing follows from
-/// it; a node that has seen as much subscribes.
-/// Cause: a list kept for sending that says how far was read when it was first sent.
+/// Guards against a node that connects to a reader and reads the platform at once instead. The
+/// reader has sent its list to another node and has read on since without changes; a cached list
+/// must carry the position at which it is sent, not the one at which it was first encoded.
 #[test]
-fn a_list_says_how_far_was_read_when_it_is_sent() {
+fn a_list_carries_the_position_at_which_it_is_sent() {
     run(async {
         let (reader, at) = start(&platform());
         monoio::time::sleep(ms(100)).await;
--- a/crates/edge/src/tests/restarts.rs
+++ b/crates/edge/src/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under their ids, as the request path meets them.
+//! Requests while upstreams are restarted under the same id.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use super::fake::{answer, get, ms, post, run, start, up, Act, Caller, Entered, Upstream, BORN_MS};
 use crate::follow;
 
-/// The upstream `u0` starts again at `addr`, as the platform's list tells.
+/// Restarts the upstream `u0` at `addr`, as the platform's list reports it.
 fn restart(entered: &Entered, addr: std::net::SocketAddr) -> Incarnation {
     let listed: Vec<place::Entry> = entered.node.state.borrow().roster.entries().cloned().collect();
     let mut entry = listed.into_iter().find(|entry| entry.id == "u0").expect("listed");
@@ -17,9 +17,8 @@
     later
 }
 
-/// Symptom: a request fails that could have been served.
-/// Sequence: an upstream starts again under its id; a connection to its earlier start is kept.
-/// Cause: taking connections for those of the upstream, whichever start it is.
+/// Guards against a request that fails over a connection to an earlier start of its upstream: the
+/// upstream was restarted under its id, and connections belong to one start only.
 #[test]
 fn connections_to_an_earlier_start_are_not_used() {
     run(async {
@@ -35,12 +34,12 @@
     });
 }
 
-/// Symptom: a claim runs twice, or an upstream that has just started is taken to be failing.
-/// Sequence: a claim is under way at an upstream that crashes and starts again under its id; the
-/// connection to the earlier start breaks only afterwards.
-/// Cause: taking the later start for the one that was asked.
+/// Guards against a claim that runs twice, and against an upstream that has just started and is
+/// considered failing. A claim is in flight at an upstream that crashes and is restarted under its
+/// id; the connection to the earlier start breaks only afterwards. The later start must not be
+/// taken for the earlier one.
 #[test]
-fn what_was_under_way_at_an_earlier_start_neither_runs_again_nor_counts_against_the_later() {
+fn requests_to_an_earlier_start_are_neither_retried_nor_counted_against_the_later() {
     run(async {
         let earlier = Upstream::start(vec![vec![Act::Wait(ms(150)), Act::Close]]);
         let later = Upstream::start(vec![vec![answer("again")]]);
@@ -59,18 +58,19 @@
     });
 }
 
-/// A request crashes its upstream again and again, and none of the crashes counts: the process is back
-/// under its id, at its address, before a connection could be refused. The list tells of the new start.
+/// Guards against a request that crashes its upstream again and again without a crash being
+/// counted: the process is back under its id and address before a connection could be refused. The
+/// list reports the new start.
 #[test]
-fn an_upstream_that_is_back_at_once_has_crashed_all_the_same() {
+fn a_crash_counts_even_if_the_upstream_is_back_at_once() {
     run(async {
         let earlier = Upstream::start(vec![vec![Act::Wait(ms(20)), Act::Close]]);
         let entered = start(&[&earlier]);
         let mut caller = Caller::connect(entered.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "1")).await.status, 502);
-        let knows_any = || !entered.node.state.borrow().quarantine.is_empty();
-        assert!(!knows_any(), "connections are taken");
+        let has_findings = || !entered.node.state.borrow().quarantine.is_empty();
+        assert!(!has_findings(), "connections are taken");
         restart(&entered, earlier.addr);
-        assert!(knows_any());
+        assert!(has_findings());
     });
 }
--- a/crates/edge/src/tests/starts.rs
+++ b/crates/edge/src/tests/starts.rs
@@ -1,4 +1,4 @@
-//! From whom a node that has just started gets what the platform holds.
+//! From whom a node that has just started gets the platform's state.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,22 +11,21 @@
 use super::fake::{metrics, ms, run, settings};
 use super::fleet::{addr, own_addr, platform, start, start_with, state_at};
 use crate::forward::Node;
-use crate::readers::{self, Way};
+use crate::readers::{self, ReadPath};
 use crate::relay;
 use crate::state::State;
 
 async fn until_ready(node: &Node, within: Duration) {
-    let asked_at = Instant::now();
+    let started_at = Instant::now();
     while !node.state.borrow().is_ready() {
-        assert!(asked_at.elapsed() < within, "not ready after {within:?}");
+        assert!(started_at.elapsed() < within, "not ready after {within:?}");
         monoio::time::sleep(ms(5)).await;
     }
 }
 
-/// Symptom: each node that is restarted makes three calls to the platform, and serves after 0.1 s where
-/// its link is slow.
-/// Sequence: nodes are restarted one after the other; the seeds serve.
-/// Cause: reading the platform whenever a node starts.
+/// Guards against three platform calls by each restarted node, which also serves only after 0.1 s
+/// over a slow link: nodes are restarted one by one while the seeds serve, and must read through
+/// these.
 #[test]
 fn a_restarted_node_gets_everything_from_a_seed_that_serves() {
     run(async {
@@ -39,14 +38,14 @@
         monoio::time::sleep(ms(300)).await;
         assert_eq!((own.snapshots.get(), own.waits.get()), (0, 0));
         let counters = seed.0.state.borrow().counters;
-        assert!(counters.relay_bytes > 0, "what is passed on is counted");
+        assert!(counters.relay_bytes > 0, "relayed bytes are counted");
         assert_eq!(counters.relay_far_bytes, 0);
     });
 }
 
-/// Symptom: a seed's link is full for seconds when half of the fleet is restarted at once.
-/// Sequence: more nodes ask it than it serves of a zone.
-/// Cause: passing the whole list to each of them itself. The others must get it as soon.
+/// Guards against a seed's link that is saturated for seconds when half of the fleet is restarted
+/// at once: more nodes of a zone connect to it than it serves itself. The others must get the list
+/// as soon.
 #[test]
 fn a_seed_names_newcomers_to_each_other() {
     run(async {
@@ -67,23 +66,22 @@
     });
 }
 
-/// Symptom: two nodes are busy connecting to each other, thousands of times a second.
-/// Sequence: a peer names itself, or another that names it again, whoever asks.
-/// Cause: asking whomever a named peer names.
+/// Guards against two nodes that connect to each other thousands of times a second: a peer refers
+/// every node to itself, or to one that refers it back.
 #[test]
-fn a_node_does_not_follow_peers_that_name_each_other() {
+fn a_node_does_not_follow_peers_that_refer_to_each_other() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let peer = listener.local_addr().expect("bound");
-        let frame = postcard::to_stdvec(&relay::Frame::Ask { peer }).expect("encodes");
+        let frame = postcard::to_stdvec(&relay::Frame::Referral { peer }).expect("encodes");
         let mut bytes = (frame.len() as u32).to_be_bytes().to_vec();
         bytes.extend_from_slice(&frame);
-        let asked = Rc::new(Cell::new(0));
-        let counted = asked.clone();
+        let connections = Rc::new(Cell::new(0));
+        let counted = connections.clone();
         monoio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
-                // Whatever became of it: the caller may be gone.
+                // The outcome does not matter: the caller may be gone.
                 let _ = stream.write_all(bytes.clone()).await;
             }
         });
@@ -91,15 +89,15 @@
         let (node, _) = start_with(&own, own_addr(6), |settings| settings.seed_addrs = vec![peer]);
         until_ready(&node, ms(500)).await;
         monoio::time::sleep(ms(300)).await;
-        assert!(asked.get() <= 4, "asked {} times", asked.get());
+        assert!(connections.get() <= 4, "{} connections", connections.get());
     });
 }
 
-/// Symptom: a node that is restarted sends requests to upstreams that left.
-/// Sequence: the platform turns its seed away, which keeps what it knew; the platform answers the node.
-/// Cause: taking a list from whoever serves.
+/// Guards against a restarted node that sends requests to upstreams that left. The platform
+/// rejects its seed, which keeps its old state, but responds to the node: it must not take a list
+/// from any node that serves.
 #[test]
-fn a_restarted_node_does_not_believe_a_seed_that_the_platform_turns_away() {
+fn a_restarted_node_ignores_a_seed_that_the_platform_rejects() {
     run(async {
         let seed = start(&platform());
         monoio::time::sleep(ms(100)).await;
@@ -113,9 +111,9 @@
     });
 }
 
-/// Symptom: the largest price of a start of 300 nodes is bytes between zones.
-/// Sequence: each node reads through any of three seeds while 3,000 upstreams register.
-/// Cause: not asking the seed of the own zone once its zone is known.
+/// Guards against bytes between zones, the largest cost of a start of 300 nodes: each node reads
+/// through any of three seeds while 3,000 upstreams register, although it knows the seed of its
+/// own zone.
 #[yare::parameterized(
     zones_unknown = { &[], &[7, 8, 9] },
     one_is_near = { &[(7, "b"), (8, "a"), (9, "c")], &[8] },
@@ -129,15 +127,14 @@
         state.settings.first_start = true;
         (state.config_seen.read, state.direct) = (in_step, false);
         let chosen = readers::choose(&mut state, &HashMap::new(), true, now);
-        assert!(expected.iter().any(|n| chosen == Way::Via(addr(*n))), "{chosen:?}");
+        assert!(expected.iter().any(|n| chosen == ReadPath::Via(addr(*n))), "{chosen:?}");
         assert_eq!(readers::has_nearer_seed(&state, addr(7), now), !expected.contains(&7));
     }
 }
 
-/// Symptom: a fleet that starts for the first time makes two calls a node, and one more for each
-/// upstream that registers meanwhile.
-/// Sequence: a node starts 0.3 s before the seeds that it was told of listen.
-/// Cause: reading the platform as soon as one peer did not answer.
+/// Guards against two platform calls a node when a fleet starts for the first time, and one more
+/// for each upstream that registers meanwhile. A node starts 0.3 s before its seeds listen, and
+/// must not read the platform as soon as one peer does not respond.
 #[test]
 fn a_fleet_that_starts_reads_the_platform_through_its_seeds() {
     run(async {
@@ -158,11 +155,10 @@
     });
 }
 
-/// Symptom: after all nodes were killed at once, each is late by the time that it waits for others.
-/// Sequence: a node is restarted; its seeds are restarted too and hold nothing yet.
-/// Cause: waiting for peers that know no more.
+/// Guards against a delay of every node after all nodes were killed at once: a restarted node must
+/// not wait for its seeds, which are restarted too and have no state yet.
 #[test]
-fn a_restarted_node_does_not_wait_for_seeds_that_hold_nothing() {
+fn a_restarted_node_does_not_wait_for_seeds_without_state() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let seed_at = listener.local_addr().expect("bound");
