--- a/crates/edge/src/conns.rs
+++ b/crates/edge/src/conns.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, kept for reuse.
+//! Connections to upstreams, kept open for reuse.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,47 +15,51 @@
 use place::Incarnation;
 use web::h1;
 
-/// How long a connection is kept when the upstream does not say.
-const IDLE_DEFAULT: Duration = Duration::from_secs(5);
+/// Idle timeout of a connection whose upstream states none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection is not used in the last part of the time that the upstream
-/// keeps it: the request would cross the close on its way.
-const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
+/// A connection is not used in this last part of its idle timeout: the request would cross the
+/// upstream's close on the way.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Connections kept per upstream.
-const KEPT_PER_UPSTREAM: usize = 8;
+/// Idle connections kept per upstream.
+const MAX_IDLE_PER_UPSTREAM: usize = 8;
 
-/// One connection to an upstream; nothing is under way on it.
+/// A connection to an upstream that carries no request.
 pub struct Conn {
     /// Receiving half.
     pub reader: h1::Reader,
     /// Sending half.
     pub writer: h1::Writer,
     idle_since: Instant,
-    idle_for: Duration,
-    /// Whether an answer came on it before.
+    idle_timeout: Duration,
+    /// Whether a response was received on it before.
     pub used: bool,
-    _slot: Slot,
+    _open_guard: OpenGuard,
 }
 
-/// A connection counted as open while it lives.
-struct Slot(Rc<Cell<u32>>);
+/// Counts a connection as open until it is dropped.
+struct OpenGuard(Rc<Cell<u32>>);
 
-impl Slot {
-    fn take(open: &Rc<Cell<u32>>) -> Slot {
+impl OpenGuard {
+    fn new(open: &Rc<Cell<u32>>) -> OpenGuard {
         open.set(open.get() + 1);
-        Slot(open.clone())
+        OpenGuard(open.clone())
     }
 }
 
-impl Drop for Slot {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Conn {
-    async fn open(addr: SocketAddr, timeout: Duration, slot: Slot) -> std::io::Result<Conn> {
+    async fn open(
+        addr: SocketAddr,
+        timeout: Duration,
+        open_guard: OpenGuard,
+    ) -> std::io::Result<Conn> {
         let connecting = monoio::time::timeout(timeout, TcpStream::connect_addr(addr));
         let stream = match connecting.await {
             Ok(stream) => stream?,
@@ -67,38 +71,38 @@
             reader: h1::Reader::new(read),
             writer: h1::Writer::new(write),
             idle_since: Instant::now(),
-            idle_for: IDLE_DEFAULT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
             used: false,
-            _slot: slot,
+            _open_guard: open_guard,
         })
     }
 
-    /// Takes from an answer's headers how long the upstream keeps the connection.
-    pub fn answered(&mut self, headers: &HeaderMap) {
+    /// Records a response, and the idle timeout that its `Keep-Alive` header states.
+    pub fn record_response(&mut self, headers: &HeaderMap) {
         self.used = true;
-        let stated = headers
+        let stated_timeout = headers
             .get("keep-alive")
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.split(',').find_map(|p| p.trim().strip_prefix("timeout=")))
             .and_then(|seconds| seconds.trim().parse().ok());
-        self.idle_for = stated.map_or(IDLE_DEFAULT, Duration::from_secs);
+        self.idle_timeout = stated_timeout.map_or(DEFAULT_IDLE_TIMEOUT, Duration::from_secs);
     }
 
-    fn is_young(&self, now: Instant) -> bool {
+    fn is_within_idle_timeout(&self, now: Instant) -> bool {
         let idle = now.saturating_duration_since(self.idle_since);
-        idle + IDLE_MARGIN < self.idle_for
+        idle + IDLE_TIMEOUT_MARGIN < self.idle_timeout
     }
 
-    /// Returns how long nothing was asked on it.
-    pub fn rested(&self) -> Duration {
+    /// Returns the time since the connection was opened or last returned to [`Conns`].
+    pub fn idle_time(&self) -> Duration {
         self.idle_since.elapsed()
     }
 
-    /// Returns true when nothing came while nothing was asked.
+    /// Returns true when the connection is open and nothing was received on it while it was idle.
     ///
-    /// Bytes here are a surplus answer, which would be taken for the next
-    /// caller's; the end of the stream is the upstream's close.
-    async fn is_quiet(&mut self) -> bool {
+    /// Bytes received here are a surplus response, which would be taken for the next caller's; the
+    /// end of the stream is the upstream's close.
+    async fn has_no_pending_input(&mut self) -> bool {
         if self.reader.has_buffered() {
             return false;
         }
@@ -107,17 +111,17 @@
     }
 }
 
-/// Idle connections by upstream.
+/// Pool of idle connections by upstream.
 #[derive(Default)]
 pub struct Conns {
     idle: RefCell<HashMap<Incarnation, Vec<Conn>>>,
-    /// Open connections by upstream, idle ones included.
+    /// Number of open connections by upstream, idle ones included.
     open: RefCell<HashMap<Incarnation, Rc<Cell<u32>>>>,
 }
 
 impl Conns {
-    /// Returns true when a connection to the upstream is likely at hand.
-    pub fn has(&self, upstream: &Incarnation) -> bool {
+    /// Returns true when the pool holds a connection to the upstream; it may turn out to be closed.
+    pub fn has_idle(&self, upstream: &Incarnation) -> bool {
         self.idle.borrow().get(upstream).is_some_and(|list| !list.is_empty())
     }
 
@@ -126,50 +130,52 @@
         self.open.borrow().get(upstream).map_or(0, |open| open.get())
     }
 
-    /// Opens a connection to the upstream.
+    /// Opens a connection to the upstream and counts it as open.
     ///
     /// # Errors
     ///
-    /// Whatever the socket says, or that `timeout` passed.
+    /// Returns the error of the socket, or `TimedOut` after `timeout`.
     pub async fn open(
         &self,
         upstream: &Incarnation,
         addr: SocketAddr,
         timeout: Duration,
     ) -> std::io::Result<Conn> {
-        let slot = Slot::take(self.open.borrow_mut().entry(upstream.clone()).or_default());
-        Conn::open(addr, timeout, slot).await
+        let open_guard =
+            OpenGuard::new(self.open.borrow_mut().entry(upstream.clone()).or_default());
+        Conn::open(addr, timeout, open_guard).await
     }
 
-    /// Takes the connection used last that can still carry a request.
+    /// Takes the most recently used connection that can still carry a request; discards the unusable
+    /// ones that it meets.
     pub async fn take(&self, upstream: &Incarnation) -> Option<Conn> {
         loop {
             let mut conn = self.idle.borrow_mut().get_mut(upstream)?.pop()?;
-            if conn.is_young(Instant::now()) && conn.is_quiet().await {
+            if conn.is_within_idle_timeout(Instant::now()) && conn.has_no_pending_input().await {
                 return Some(conn);
             }
         }
     }
 
-    /// Keeps a connection for the next request.
+    /// Returns a connection to the pool; closes it when the pool of the upstream is full.
     pub fn put(&self, upstream: &Incarnation, mut conn: Conn) {
         conn.idle_since = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(upstream.clone()).or_default();
-        if list.len() < KEPT_PER_UPSTREAM {
+        if list.len() < MAX_IDLE_PER_UPSTREAM {
             list.push(conn);
         }
     }
 
-    /// Closes the connections to an upstream that gets no further requests.
+    /// Closes the idle connections to an upstream.
     pub fn close(&self, upstream: &Incarnation) {
         self.idle.borrow_mut().remove(upstream);
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose idle timeout has nearly passed at `now`.
     pub fn expire(&self, now: Instant) {
         self.idle.borrow_mut().retain(|_, list| {
-            list.retain(|conn| conn.is_young(now));
+            list.retain(|conn| conn.is_within_idle_timeout(now));
             !list.is_empty()
         });
         self.open.borrow_mut().retain(|_, open| open.get() > 0);
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -1,7 +1,7 @@
 //! One request to one upstream over one connection.
 //!
 //! What the caller may be told depends on how the exchange ended, so each
-//! way it can end is one variant of [`Outcome`].
+//! possible end is one variant of [`Outcome`].
 
 use std::pin::pin;
 
@@ -12,209 +12,222 @@
 use crate::conns::Conn;
 use crate::HeaderNames;
 
-/// An answer up to this size is received in full before any of it is passed
-/// on: one that is cut off can then still be replaced by another upstream's.
-pub const WHOLE_ANSWER_BYTES: usize = 64 * 1024;
+/// A response whose body is shorter than this is received in full before any of it is passed
+/// on: a truncated one can then still be replaced by another upstream's response.
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Answers to other requests that are passed over before the connection is given up.
-const FOREIGN_MOST: usize = 4;
+/// Responses to other requests after which a connection is given up.
+const MAX_MISMATCHED_RESPONSES: usize = 4;
 
-/// A request as an upstream gets it.
-pub struct Outgoing {
+/// A request as it is sent to an upstream.
+pub struct OutgoingRequest {
     /// Method.
     pub method: Method,
-    /// Head and body, encoded.
+    /// Head and the first bytes of the body, encoded.
     pub bytes: Vec<u8>,
-    /// Id that the answer must echo.
+    /// Id that the response must echo.
     pub request_id: http::HeaderValue,
 }
 
-/// The body of an answer.
-pub enum AnswerBody {
-    /// All of it.
-    Whole(Bytes),
-    /// Its beginning; the rest is still to come on the connection.
-    Begun(Bytes, h1::Decoder, Box<Conn>),
+/// Body of a response.
+pub enum ResponseBody {
+    /// Received in full.
+    Full(Bytes),
+    /// Its first bytes; the remainder is still to be read from the connection.
+    Partial(Bytes, h1::Decoder, Box<Conn>),
 }
 
-/// An answer that an upstream made.
-pub struct Answer {
-    /// Its head.
+/// A response of an upstream.
+pub struct Response {
+    /// Status and headers.
     pub head: h1::ResponseHead,
-    /// Its body.
-    pub body: AnswerBody,
+    /// Body.
+    pub body: ResponseBody,
 }
 
-impl Answer {
-    /// Returns the length of its body as far as it is known yet.
+impl Response {
+    /// Returns the length of the body in bytes: the announced one where there is one, otherwise that
+    /// of what was received so far.
     pub fn known_bytes(&self) -> usize {
         match (&self.body, self.head.framing) {
-            (AnswerBody::Begun(..), h1::Framing::Length(length)) => length as usize,
-            (AnswerBody::Whole(body) | AnswerBody::Begun(body, ..), _) => body.len(),
+            (ResponseBody::Partial(..), h1::Framing::Length(length)) => length as usize,
+            (ResponseBody::Full(body) | ResponseBody::Partial(body, ..), _) => body.len(),
         }
     }
 }
 
-/// Why a request got no answer when its own caller left.
+/// Reason of [`Outcome::Lost`] when the caller left before its whole request was sent.
 pub const CALLER_LEFT: &str = "caller left";
 
-/// Why a request got no answer when its connection was reset before any of it came.
-pub const BROKE: &str = "connection broke";
+/// Reason of [`Outcome::Lost`] when reading the response head failed with an I/O error.
+pub const CONNECTION_BROKEN: &str = "connection broke";
 
-/// Why a request got no answer when its connection was closed before any of it came.
-pub const CLOSED: &str = "closed without an answer";
+/// Reason of [`Outcome::Lost`] when the connection was closed before a response head.
+pub const CLOSED_BEFORE_RESPONSE: &str = "closed without an answer";
 
-/// Why a request got no whole answer when its connection ended within it.
-pub const CUT_OFF: &str = "answer cut off";
+/// Reason of [`Outcome::Lost`] when the body of the response could not be read to its end.
+pub const RESPONSE_TRUNCATED: &str = "answer cut off";
 
-/// Returns true when a request got no answer since its upstream's side of the connection ended.
-pub fn ends_connection(why: &'static str) -> bool {
-    [BROKE, CLOSED, CUT_OFF].contains(&why)
+/// Returns true for reasons of [`Outcome::Lost`] that mean that the upstream ended the connection.
+pub fn is_connection_loss(why: &'static str) -> bool {
+    [CONNECTION_BROKEN, CLOSED_BEFORE_RESPONSE, RESPONSE_TRUNCATED].contains(&why)
 }
 
-/// How far the sending of a request got.
+/// How far a request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
+pub enum SendResult {
     /// All of it was written.
-    All,
-    /// The upstream takes no more of it.
-    UpstreamBroke,
-    /// Its caller left before all of it had come.
+    Complete,
+    /// Writing failed, or the response came before the request was written in full.
+    UpstreamClosed,
+    /// The caller left before all of its request had been received.
     CallerLeft,
 }
 
-/// Which request an answer belongs to.
+/// Which request a response belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerTo {
-    /// The one that was sent.
-    This,
-    /// An earlier one: it comes late, or once too often.
+pub enum ResponseTo {
+    /// The one just sent.
+    Current,
+    /// An earlier one on the same connection: the response is late or a duplicate.
     Earlier,
 }
 
 /// How an exchange ended.
 pub enum Outcome {
-    /// The upstream answered.
-    Answered(Answer),
-    /// No connection could be made; the upstream knows nothing of the request.
+    /// The upstream responded; the response may be passed on.
+    Answered(Response),
+    /// No connection could be established; the upstream never received the request.
     NotSent,
-    /// The upstream says that it did not run the request.
+    /// The upstream states that it did not run the request. Holds the status and headers.
     NotRun(StatusCode, HeaderMap),
-    /// The request may have run and there is no answer to pass on.
+    /// The request may have run and there is no response to pass on. Holds the reason.
     Lost(&'static str),
 }
 
-/// Sends `request` and receives its answer; also returns the connection if it can be used again.
+/// Sends `request` and receives its response; also returns the connection if it can be reused.
 ///
-/// `rest` sends what follows the first bytes of the request, such as a long body; `hear` is given the
-/// head of each answer, whatever becomes of that answer.
+/// `write_rest` sends what follows the first bytes of the request, such as a streamed body.
+/// `on_response_head` is called with the head of every response, those to earlier requests and those
+/// that are not passed on included.
 pub async fn run<F>(
     mut conn: Conn,
-    request: Outgoing,
+    request: OutgoingRequest,
     names: &HeaderNames,
-    hear: impl Fn(&h1::ResponseHead, AnswerTo),
-    rest: F,
+    on_response_head: impl Fn(&h1::ResponseHead, ResponseTo),
+    write_rest: F,
 ) -> (Outcome, Option<Conn>)
 where
-    F: AsyncFnOnce(&mut h1::Writer) -> Sent,
+    F: AsyncFnOnce(&mut h1::Writer) -> SendResult,
 {
-    let (head, surplus, sent) = match trade(&mut conn, request, names, hear, rest).await {
-        Ok(traded) => traded,
+    let (head, had_mismatched, sent) = match send_and_receive_head(
+        &mut conn,
+        request,
+        names,
+        on_response_head,
+        write_rest,
+    )
+    .await
+    {
+        Ok(received) => received,
         Err(why) => return (Outcome::Lost(why), None),
     };
     let mut decoder = h1::Decoder::new(head.framing);
     let body = match receive_body(&mut conn.reader, &mut decoder).await {
         Ok(body) => body,
-        Err(_) => return (Outcome::Lost(CUT_OFF), None),
+        Err(_) => return (Outcome::Lost(RESPONSE_TRUNCATED), None),
     };
-    if !decoder.is_done() && body.len() >= WHOLE_ANSWER_BYTES {
-        let body = AnswerBody::Begun(body, decoder, Box::new(conn));
-        return (judge(head, body, names), None);
+    if !decoder.is_done() && body.len() >= MAX_BUFFERED_RESPONSE_BYTES {
+        let body = ResponseBody::Partial(body, decoder, Box::new(conn));
+        return (classify(head, body, names), None);
     }
-    let quiet = !conn.reader.has_buffered();
-    let reusable = sent == Sent::All && !surplus && head.keep_alive && quiet;
-    conn.answered(&head.headers);
-    (judge(head, AnswerBody::Whole(body), names), reusable.then_some(conn))
+    let no_extra_bytes = !conn.reader.has_buffered();
+    let reusable =
+        sent == SendResult::Complete && !had_mismatched && head.keep_alive && no_extra_bytes;
+    conn.record_response(&head.headers);
+    (classify(head, ResponseBody::Full(body), names), reusable.then_some(conn))
 }
 
-/// Sends a request and receives the head of its answer, whichever is over first.
+/// Sends a request while receiving the head of its response; ends as soon as that head is there.
 ///
-/// Returns the head, whether other answers came before it, and how far the sending got.
-async fn trade<F>(
+/// Returns the head, whether responses to other requests came before it, and how far the request
+/// was sent.
+async fn send_and_receive_head<F>(
     conn: &mut Conn,
-    request: Outgoing,
+    request: OutgoingRequest,
     names: &HeaderNames,
-    hear: impl Fn(&h1::ResponseHead, AnswerTo),
-    rest: F,
-) -> Result<(h1::ResponseHead, bool, Sent), &'static str>
+    on_response_head: impl Fn(&h1::ResponseHead, ResponseTo),
+    write_rest: F,
+) -> Result<(h1::ResponseHead, bool, SendResult), &'static str>
 where
-    F: AsyncFnOnce(&mut h1::Writer) -> Sent,
+    F: AsyncFnOnce(&mut h1::Writer) -> SendResult,
 {
-    let Outgoing { method, bytes, request_id } = request;
+    let OutgoingRequest { method, bytes, request_id } = request;
     let Conn { reader, writer, .. } = conn;
-    let mut answered = pin!(receive_head(reader, &method, names, hear, &request_id));
+    let mut receiving = pin!(receive_head(reader, &method, names, on_response_head, &request_id));
     let mut sending = pin!(async {
-        // An upstream that answers before it has read everything may close: its answer still
-        // counts, and a failed write is told by the missing answer.
+        // An upstream that responds before it has read everything may close the connection. Its
+        // response still counts; if there is none, receiving it reports the failure.
         match writer.write(bytes).await {
-            Ok(()) => rest(writer).await,
-            Err(_) => Sent::UpstreamBroke,
+            Ok(()) => write_rest(writer).await,
+            Err(_) => SendResult::UpstreamClosed,
         }
     });
     let (received, sent) = monoio::select! {
-        received = &mut answered => (received, Sent::UpstreamBroke),
+        received = &mut receiving => (received, SendResult::UpstreamClosed),
         sent = &mut sending => match sent {
-            Sent::CallerLeft => return Err(CALLER_LEFT),
-            sent => (answered.await, sent),
+            SendResult::CallerLeft => return Err(CALLER_LEFT),
+            sent => (receiving.await, sent),
         },
     };
-    let (head, surplus) = received?;
-    Ok((head, surplus, sent))
+    let (head, had_mismatched) = received?;
+    Ok((head, had_mismatched, sent))
 }
 
-/// Tells what an answer means.
-fn judge(head: h1::ResponseHead, body: AnswerBody, names: &HeaderNames) -> Outcome {
-    let encoded = head.headers.contains_key(http::header::CONTENT_ENCODING);
-    let signed = head.headers.contains_key(&names.signature);
+/// Classifies a response.
+fn classify(head: h1::ResponseHead, body: ResponseBody, names: &HeaderNames) -> Outcome {
+    let is_encoded = head.headers.contains_key(http::header::CONTENT_ENCODING);
+    let is_signed = head.headers.contains_key(&names.signature);
     match head.status {
         _ if head.headers.contains_key(&names.not_run) => {
             Outcome::NotRun(head.status, head.headers)
         }
         StatusCode::MISDIRECTED_REQUEST => Outcome::NotRun(head.status, head.headers),
-        status if status.is_success() && !signed => Outcome::Lost("answer not signed"),
-        // Nobody asked for a coding: these are not the bytes that the upstream made.
-        status if status.is_success() && encoded => Outcome::Lost("answer in an unasked coding"),
-        _ => Outcome::Answered(Answer { head, body }),
+        status if status.is_success() && !is_signed => Outcome::Lost("answer not signed"),
+        // No content coding was requested: these are not the bytes that the upstream produced.
+        status if status.is_success() && is_encoded => Outcome::Lost("answer in an unasked coding"),
+        _ => Outcome::Answered(Response { head, body }),
     }
 }
 
-/// Receives the head of the answer to `request_id`; also tells whether other answers came before.
+/// Receives the head of the response to `request_id`; also returns whether responses to other
+/// requests came before it.
 ///
-/// An upstream may send a second answer to an earlier request, late. Taken for
-/// the answer to this one it would hand a caller another's data; the echoed id
-/// tells them apart, and the right answer follows.
+/// An upstream may send a late duplicate of the response to an earlier request. Taken for the
+/// response to this request it would leak another caller's data. The echoed request id tells them
+/// apart, and the right response follows.
 async fn receive_head(
     reader: &mut h1::Reader,
     method: &Method,
     names: &HeaderNames,
-    hear: impl Fn(&h1::ResponseHead, AnswerTo),
+    on_response_head: impl Fn(&h1::ResponseHead, ResponseTo),
     request_id: &http::HeaderValue,
 ) -> Result<(h1::ResponseHead, bool), &'static str> {
-    for foreign in 0..FOREIGN_MOST {
+    for mismatched in 0..MAX_MISMATCHED_RESPONSES {
         let head = match reader.response_head(method).await {
             Ok(head) => head,
             Err(h1::ReadError::Malformed(_)) => return Err("answer not readable"),
-            Err(h1::ReadError::Closed) => return Err(CLOSED),
-            Err(h1::ReadError::Io(_)) => return Err(BROKE),
+            Err(h1::ReadError::Closed) => return Err(CLOSED_BEFORE_RESPONSE),
+            Err(h1::ReadError::Io(_)) => return Err(CONNECTION_BROKEN),
         };
         match head.headers.get(&names.request_id) {
             Some(echoed) if echoed != request_id => {
-                hear(&head, AnswerTo::Earlier);
+                on_response_head(&head, ResponseTo::Earlier);
                 let mut decoder = h1::Decoder::new(head.framing);
                 if decoder.is_close_delimited() {
                     return Err("answer to another request");
                 }
-                while let Some(_passed_over) = reader
+                while let Some(_discarded) = reader
                     .body_piece(&mut decoder)
                     .await
                     .map_err(|_| "answer to another request, cut off")?
@@ -222,21 +235,21 @@
             }
             None if head.headers.contains_key(&names.signature) => return Err("answer without id"),
             _ => {
-                hear(&head, AnswerTo::This);
-                return Ok((head, foreign > 0));
+                on_response_head(&head, ResponseTo::Current);
+                return Ok((head, mismatched > 0));
             }
         }
     }
     Err("answers to other requests only")
 }
 
-/// Receives a body, up to [`WHOLE_ANSWER_BYTES`] of it.
+/// Receives a body, up to [`MAX_BUFFERED_RESPONSE_BYTES`] of it.
 async fn receive_body(
     reader: &mut h1::Reader,
     decoder: &mut h1::Decoder,
 ) -> Result<Bytes, h1::ReadError> {
     let mut body = BytesMut::new();
-    while body.len() < WHOLE_ANSWER_BYTES {
+    while body.len() < MAX_BUFFERED_RESPONSE_BYTES {
         match reader.body_piece(decoder).await? {
             Some(piece) if body.is_empty() && decoder.is_done() => return Ok(piece),
             Some(piece) => body.extend_from_slice(&piece),
--- a/crates/edge/src/follow/apply.rs
+++ b/crates/edge/src/follow/apply.rs
@@ -149,7 +149,7 @@
             // It crashed if it lost requests a moment ago; its address may have taken connections
             // again before anybody tried.
             place::Change::Drop { upstream, reason, .. } if *reason == place::RESTARTED => {
-                node.has_ended(upstream);
+                node.record_upstream_ended(upstream);
             }
             place::Change::Drop { .. } | place::Change::Put(_) => {}
         }
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -1,18 +1,18 @@
-//! Takes one request to its answer: route, sends, hedges, outcome.
+//! Forwards a request to upstreams: routing, sends, retries, hedges, outcome.
 //!
-//! [`sends`] decides on the sends of a request, [`choose`] picks the upstream of each, [`send`] makes
-//! it and learns from its end, [`call`] is what they know of the request, [`content`] what it asks.
-//! [`ends`] finds upstreams that crashed under requests, [`held`] keeps such requests from others.
-//! [`notices`] takes what upstreams state about themselves in any answer.
+//! [`retries`] decides on the sends of a request, [`choose`] picks the upstream of each, and [`send`]
+//! performs it and records its outcome. [`call`] is the state of a request, [`content`] its content key.
+//! [`crash_detection`] detects upstreams that crashed while running requests, and [`quarantined`] keeps
+//! such requests from other upstreams. [`notices`] applies the backpressure signals of responses.
 
 mod call;
 mod choose;
 mod content;
-mod ends;
-mod held;
+mod crash_detection;
 mod notices;
+mod quarantined;
+mod retries;
 mod send;
-mod sends;
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
 
 use self::call::Call;
 use crate::conns::{Conn, Conns};
-use crate::exchange::Answer;
+use crate::exchange::Response;
 use crate::gossip;
 use crate::metrics::Metrics;
 use crate::probe;
@@ -41,81 +41,81 @@
 use crate::reply::Own;
 use crate::state::Shared;
 
-/// A connection that rested for less than this is taken to be known to its upstream still. Some
-/// forget connections after 0.3 s; a request between zones is on its way for 2 ms.
-const SURE_FOR: Duration = Duration::from_millis(100);
+/// A connection that was idle for less than this is assumed to be open at its upstream. Some upstreams
+/// drop idle connections after 0.3 s; a request between zones takes 2 ms to arrive.
+const MIN_IDLE_TO_VERIFY: Duration = Duration::from_millis(100);
 
-/// Time from the start of the process in which a request waits for the configuration and the list
-/// of upstreams. Both are read within 0.25 s (110 kB over a link of 10 Mbit/s, after a start of
-/// 0.05 s), and within 0.5 s from a platform that takes sixty times as long as usual. Refused, each
-/// caller of a fleet that was restarted as a whole would use up a try of the few that it has, and
-/// come back later than the node is ready.
-const START_WAIT: Duration = Duration::from_secs(1);
+/// Time since the start of the process during which requests wait for the configuration and the list
+/// of upstreams. Both are read within 0.25 s (110 kB over a link of 10 Mbit/s, after a startup of
+/// 0.05 s), and within 0.5 s from a platform that takes sixty times as long as usual. If requests were
+/// refused instead after a restart of the whole fleet, each caller would use up one of its few
+/// attempts and retry later than the node is ready.
+const MAX_STARTUP_WAIT: Duration = Duration::from_secs(1);
 
-/// Part of the deadline that its caller states for which a request waits for that at most: after a
-/// third of it callers were seen to give an attempt up.
-const START_WAIT_PART: f64 = 0.25;
+/// Longest such wait, as a ratio of the deadline that the caller states: some callers abandon an
+/// attempt after a third of their deadline.
+const STARTUP_WAIT_RATIO: f64 = 0.25;
 
-/// How often a waiting request looks.
-const START_LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a waiting request checks whether the node has started.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// When to come back to a node that has no configuration or no upstreams.
-const COME_BACK_NOT_READY: Duration = Duration::from_millis(300);
+/// `Retry-After` of a node that has no configuration or no upstreams.
+const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(300);
 
-/// Longest time that an upstream is believed to be cold by its own word.
-const COLD_MOST: Duration = Duration::from_secs(3_600);
+/// Upper bound of the time for which an upstream may state that it is cold.
+const MAX_COLD_TIME: Duration = Duration::from_secs(3_600);
 
-/// When to come back to another node.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(20);
+/// `Retry-After` of requests that another node can serve at once.
+const RETRY_AFTER_OTHER_NODE: Duration = Duration::from_millis(20);
 
-/// The entry node's request path.
+/// The request path of an entry node.
 pub struct Node {
-    /// What the node believes.
+    /// State that all tasks of the node share.
     pub state: Shared,
     /// Connections to upstreams.
     pub conns: Conns,
     /// Peers that read the platform through this node.
     pub subscribers: relay::Subscribers,
-    /// What is measured.
+    /// Metrics of the node.
     pub metrics: Metrics,
     probe_budgets: RefCell<HashMap<ServiceName, probe::Budget>>,
-    /// Wakes the membership task once there is news for it.
+    /// Wakes the membership task when there are updates to broadcast.
     gossip: OnceCell<Tx<gossip::Input>>,
 }
 
-/// What is known of the caller of a request.
+/// The caller of a request.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// When its request had arrived.
-    pub asked_at: Instant,
-    /// Whether it has left. What was sent for it is left to end then, and nothing more is sent.
-    pub left: Rc<Cell<bool>>,
+    /// When its request was received.
+    pub received_at: Instant,
+    /// Whether it has disconnected. Sends in flight then run to their end, and no further ones are made.
+    pub has_left: Rc<Cell<bool>>,
 }
 
 impl Caller {
-    /// Returns a caller that waits for its answer since `asked_at`.
-    pub fn waiting_since(asked_at: Instant) -> Caller {
-        Caller { asked_at, left: Rc::default() }
+    /// Returns a connected caller whose request was received at `received_at`.
+    pub fn waiting_since(received_at: Instant) -> Caller {
+        Caller { received_at, has_left: Rc::default() }
     }
 }
 
-/// The body of a caller's request.
+/// Body of a caller's request.
 pub enum Body<'a> {
-    /// All of it, short enough to be sent again.
+    /// Received in full, and short enough to be sent more than once.
     Whole(Bytes),
-    /// Its beginning; the rest still comes from the caller.
+    /// Its first bytes; the remainder is still to be received from the caller.
     Long {
-        /// What was received.
+        /// What was received so far.
         first: Bytes,
-        /// Where the rest comes from.
+        /// Reader of the caller's connection.
         reader: &'a mut h1::Reader,
-        /// Takes the rest out of it.
+        /// Decoder of the remaining body.
         decoder: &'a mut h1::Decoder,
     },
 }
 
 impl Body<'_> {
-    /// Returns what was received of it.
+    /// Returns what was received of the body.
     fn received(&self) -> &Bytes {
         match self {
             Body::Whole(body) | Body::Long { first: body, .. } => body,
@@ -123,16 +123,16 @@
     }
 }
 
-/// What goes back to the caller.
+/// Response to the caller.
 pub enum Reply {
-    /// An upstream's answer.
-    Upstream(Answer),
-    /// The node's own.
+    /// Response of an upstream, to be passed on.
+    Upstream(Response),
+    /// Response of the node itself.
     Own(Own),
 }
 
 impl Node {
-    /// Creates the request path over `state`, measured by `metrics`.
+    /// Creates the request path over `state`, which records its measurements in `metrics`.
     pub fn new(state: Shared, metrics: Metrics) -> Node {
         Node {
             metrics,
@@ -144,11 +144,11 @@
         }
     }
 
-    /// Returns a connection to an upstream, kept or new.
+    /// Returns a connection to an upstream, an idle one or a new one.
     ///
     /// # Errors
     ///
-    /// Whatever the socket says, or that `timeout` passed.
+    /// Returns the error of the socket, or `TimedOut` after `timeout`.
     pub async fn connection(
         &self,
         upstream: &Incarnation,
@@ -164,12 +164,13 @@
         }
     }
 
-    /// Returns a connection on which a request that must not run twice may be sent.
+    /// Returns a connection for a request that must not run twice. One that was idle for a while is
+    /// verified by a probe first, if the budget of probes allows one.
     ///
     /// # Errors
     ///
-    /// Whatever the socket says, or that `timeout` passed.
-    pub async fn sure_connection(
+    /// Returns the error of the socket, or `TimedOut` after `timeout`.
+    pub async fn verified_connection(
         &self,
         service: &ServiceName,
         upstream: &Incarnation,
@@ -177,7 +178,7 @@
         timeout: Duration,
     ) -> std::io::Result<Conn> {
         let conn = self.connection(upstream, addr, timeout).await?;
-        if !conn.used || conn.rested() < SURE_FOR || !self.may_verify(service) {
+        if !conn.used || conn.idle_time() < MIN_IDLE_TO_VERIFY || !self.may_verify(service) {
             return Ok(conn);
         }
         match probe::verify(self, service, upstream, conn).await {
@@ -190,36 +191,41 @@
         }
     }
 
-    /// Returns true when upstreams of the service answer questions at once and the budget of
-    /// probes allows one.
+    /// Takes one probe out of the budget; returns true when that succeeds and upstreams of the service
+    /// report their load, which means that they respond to probes at once.
     fn may_verify(&self, service: &ServiceName) -> bool {
         let pools = &self.state.borrow().pools;
-        let reports = pools.get(service).and_then(|pool| pool.reports_load()) == Some(true);
-        reports && self.take_probes(service, 1) == 1
+        let reports_load = pools.get(service).and_then(|pool| pool.reports_load()) == Some(true);
+        reports_load && self.take_from_probe_budget(service, 1) == 1
     }
 
-    /// Takes up to `wanted` probes out of the service's budget.
-    fn take_probes(&self, service: &ServiceName, wanted: usize) -> usize {
-        let (per_s, most) = probe::allowance(self, service);
+    /// Takes up to `wanted` probes out of the service's budget; returns how many were granted.
+    fn take_from_probe_budget(&self, service: &ServiceName, wanted: usize) -> usize {
+        let (refill_per_s, capacity) = probe::budget_limits(self, service);
         let mut budgets = self.probe_budgets.borrow_mut();
         let budget = budgets.entry(service.clone()).or_default();
-        budget.take(wanted, per_s, most, Instant::now())
+        budget.take(wanted, refill_per_s, capacity, Instant::now())
     }
 
-    /// Takes what an upstream's answer says of its load.
-    pub fn take_load(&self, service: &ServiceName, upstream: &Incarnation, headers: &HeaderMap) {
+    /// Records the load that a response of an upstream reports.
+    pub fn record_load(&self, service: &ServiceName, upstream: &Incarnation, headers: &HeaderMap) {
         let mut state = self.state.borrow_mut();
-        let read = state.settings.read_load;
+        let parse_load = state.settings.read_load;
         let value = headers.get(&state.settings.headers.load);
-        let load = value.and_then(|value| value.to_str().ok()).and_then(read);
+        let load = value.and_then(|value| value.to_str().ok()).and_then(parse_load);
         if let Some(pool) = state.pools.get_mut(service) {
             pool.record_report(upstream, load, Instant::now());
         }
     }
 
-    /// Takes what an upstream's answer to a probe says of how long it is cold. One that says nothing is
-    /// warm, where upstreams of its service have to be spared while they are not.
-    pub fn take_cold(&self, service: &ServiceName, upstream: &Incarnation, headers: &HeaderMap) {
+    /// Records for how long an upstream stays cold, as its response to a probe states; without a
+    /// statement it is warm. Applies only to services with a limit on requests to cold upstreams.
+    pub fn record_cold_time(
+        &self,
+        service: &ServiceName,
+        upstream: &Incarnation,
+        headers: &HeaderMap,
+    ) {
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
         if state.warm_up(service, now).is_none() {
@@ -229,35 +235,38 @@
         let cold_for = value.and_then(|value| value.to_str().ok()?.parse().ok());
         let cold_for = cold_for.filter(|ms| *ms > 0).map(Duration::from_millis);
         if let Some(pool) = state.pools.get_mut(service) {
-            pool.set_cold_for(upstream, cold_for.map(|time| time.min(COLD_MOST)), now);
+            pool.set_cold_for(upstream, cold_for.map(|time| time.min(MAX_COLD_TIME)), now);
         }
     }
 
-    /// Takes a request to its answer.
+    /// Forwards a request and returns the response to its caller.
     pub async fn forward(
         self: &Rc<Node>,
         head: &h1::RequestHead,
         body: Body<'_>,
         caller: Caller,
     ) -> Reply {
-        let arrived = caller.asked_at;
+        let received_at = caller.received_at;
         let names = self.state.borrow().settings.headers.clone();
-        let stated = head.headers.get(&names.deadline_ms).and_then(|v| v.to_str().ok());
-        let stated = stated.and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
-        let may_wait = stated.map_or(START_WAIT, |stated| stated.mul_f64(START_WAIT_PART));
-        self.until_started(arrived + may_wait.min(START_WAIT)).await;
+        let stated_deadline = head.headers.get(&names.deadline_ms).and_then(|v| v.to_str().ok());
+        let stated_deadline =
+            stated_deadline.and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
+        let max_wait = stated_deadline.map_or(MAX_STARTUP_WAIT, |stated_deadline| {
+            stated_deadline.mul_f64(STARTUP_WAIT_RATIO)
+        });
+        self.wait_until_started(received_at + max_wait.min(MAX_STARTUP_WAIT)).await;
         let table = {
             let mut state = self.state.borrow_mut();
             state.counters.requests += 1;
             state.table.clone()
         };
         let Some(table) = table else {
-            trace::Line::new("no_config").field("request", id_of(head, &names)).log();
-            return Reply::Own(Own::not_run(COME_BACK_NOT_READY, "no configuration yet"));
+            trace::Line::new("no_config").field("request", request_id_of(head, &names)).log();
+            return Reply::Own(Own::not_run(RETRY_AFTER_NOT_READY, "no configuration yet"));
         };
         let Some(route) = table.find(&head.host, head.path()) else {
             trace::Line::new("no_route")
-                .field("request", id_of(head, &names))
+                .field("request", request_id_of(head, &names))
                 .field("host", head.host.as_str())
                 .field("path", head.path())
                 .field("config", table.version)
@@ -269,18 +278,19 @@
             let text = "exactly one request id is required";
             return Reply::Own(Own::failed(StatusCode::BAD_REQUEST, text));
         };
-        let allowed = stated.map_or(route.timeout, |stated| stated.min(route.timeout));
-        let deadline = arrived + allowed;
+        let allowed = stated_deadline
+            .map_or(route.timeout, |stated_deadline| stated_deadline.min(route.timeout));
+        let deadline = received_at + allowed;
         let stopping = self.state.borrow().stopping;
-        if stopping.is_some_and(|stopping| stopping.is_too_late(deadline, arrived)) {
+        if stopping.is_some_and(|stopping| stopping.is_too_late(deadline, received_at)) {
             trace::Line::new("refused")
-                .field("request", id_of(head, &names))
+                .field("request", request_id_of(head, &names))
                 .field("reason", "stopping")
                 .log();
-            return Reply::Own(Own::not_run(COME_BACK_ELSEWHERE, "this node is stopping"));
+            return Reply::Own(Own::not_run(RETRY_AFTER_OTHER_NODE, "this node is stopping"));
         }
-        let tried_for = stated.map_or(Duration::ZERO, |stated| {
-            self.state.borrow_mut().attempts.retrying_for(&route.name, stated)
+        let retrying_for = stated_deadline.map_or(Duration::ZERO, |stated_deadline| {
+            self.state.borrow_mut().attempts.retrying_for(&route.name, stated_deadline)
         });
         let body_start = body.received().clone();
         let service = self.next_service(route);
@@ -292,24 +302,24 @@
             content: OnceCell::new(),
             body_start,
             route,
-            config: table.version,
+            config_version: table.version,
             service,
             most_urgent,
-            arrived,
-            caller_left: caller.left,
-            tried_for,
+            received_at,
+            caller_left: caller.has_left,
+            retrying_for,
             deadline,
             sends,
         };
-        // Its time has been running since it arrived, also while it waited behind a claim on its
-        // connection, or for a node that had just started.
-        let sends = self.sends(&call, body);
-        let reply = match monoio::time::timeout(call.left(), sends).await {
+        // The deadline counts from when the request was received, so it includes time spent queued
+        // behind a non-idempotent request of its connection or waiting for the node to start.
+        let sending = self.send_with_retries(&call, body);
+        let reply = match monoio::time::timeout(call.deadline_left(), sending).await {
             Ok(reply) => reply,
             Err(_) => {
-                call.line("timed_out").log();
+                call.log_line("timed_out").log();
                 match call.sends.borrow().is_empty() {
-                    true => Reply::Own(Own::not_run(COME_BACK_ELSEWHERE, "not sent in time")),
+                    true => Reply::Own(Own::not_run(RETRY_AFTER_OTHER_NODE, "not sent in time")),
                     false => {
                         Reply::Own(Own::failed(StatusCode::GATEWAY_TIMEOUT, "no answer in time"))
                     }
@@ -320,24 +330,25 @@
         reply
     }
 
-    /// Records that the caller of a request left before its answer.
+    /// Records that the caller of a request left before it got a response.
     pub fn caller_left(&self, head: &h1::RequestHead) {
         let mut state = self.state.borrow_mut();
         state.counters.abandoned += 1;
-        let id = id_of(head, &state.settings.headers);
+        let id = request_id_of(head, &state.settings.headers);
         trace::Line::new("caller_left").field("request", id).log();
     }
 
-    /// Waits while the node has just started and holds nothing to serve by, not beyond `until`.
-    async fn until_started(&self, until: Instant) {
-        let may_wait = || {
+    /// Waits while the node has just started and lacks the configuration or the list of upstreams, at
+    /// most until `until`.
+    async fn wait_until_started(&self, until: Instant) {
+        let should_wait = || {
             let state = self.state.borrow();
-            let holds_all = state.table.is_some() && !state.roster.is_empty();
-            let until = until.min(state.started_at + START_WAIT);
-            !holds_all && Instant::now() < until
+            let has_all_data = state.table.is_some() && !state.roster.is_empty();
+            let until = until.min(state.started_at + MAX_STARTUP_WAIT);
+            !has_all_data && Instant::now() < until
         };
-        while may_wait() {
-            monoio::time::sleep(START_LOOK).await;
+        while should_wait() {
+            monoio::time::sleep(STARTUP_POLL_INTERVAL).await;
         }
     }
 
@@ -346,28 +357,28 @@
         let index = match route.targets.len() {
             1 => 0,
             _ => {
-                let turns = state.turns.entry(route.name.clone()).or_default();
-                turns.next(&route.targets, &mut state.rng)
+                let round_robin = state.turns.entry(route.name.clone()).or_default();
+                round_robin.next(&route.targets, &mut state.rng)
             }
         };
         route.targets[index].service.clone()
     }
 
-    /// Counts how a request ended. One whose caller has left is counted as that alone, by
-    /// [`Node::caller_left`]: nobody was answered or refused.
+    /// Counts the outcome of a request. One whose caller has left is only counted by
+    /// [`Node::caller_left`], as nobody was answered or refused.
     fn count(&self, call: &Call<'_>, reply: &Reply) {
         if call.caller_left.get() {
             return;
         }
         if matches!(reply, Reply::Upstream(_)) && call.objective_left().is_zero() {
-            call.line("late").log();
+            call.log_line("late").log();
         }
         let outcome = match reply {
             Reply::Upstream(_) => "answered",
             Reply::Own(own) if own.come_back.is_some() => "refused",
             Reply::Own(_) => "failed",
         };
-        self.metrics.request(call.arrived.elapsed(), outcome);
+        self.metrics.request(call.received_at.elapsed(), outcome);
         let counters = &mut self.state.borrow_mut().counters;
         match reply {
             Reply::Upstream(_) => counters.answered += 1,
@@ -377,7 +388,7 @@
     }
 }
 
-fn id_of<'a>(head: &'a h1::RequestHead, names: &crate::HeaderNames) -> &'a str {
+fn request_id_of<'a>(head: &'a h1::RequestHead, names: &crate::HeaderNames) -> &'a str {
     let id = head.headers.get(&names.request_id);
     id.and_then(|id| id.to_str().ok()).unwrap_or("?")
 }
--- a/crates/edge/src/forward/call.rs
+++ b/crates/edge/src/forward/call.rs
@@ -1,4 +1,4 @@
-//! One request on its way: what it asks, what was chosen for it, what was sent.
+//! State of one request while it is forwarded: its content, the chosen upstreams, its sends.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::net::SocketAddr;
@@ -17,36 +17,36 @@
 use crate::as_ms;
 use crate::exchange::Outcome;
 
-/// One request on its way.
+/// A request that is being forwarded.
 pub(super) struct Call<'a> {
     pub(super) head: &'a h1::RequestHead,
     pub(super) request_id: HeaderValue,
-    /// What it asks, once somebody wanted to know: [`Call::content`].
+    /// Content key, computed on first use by [`Call::content`].
     pub(super) content: OnceCell<ContentKey>,
-    /// Its body as far as it was received when it came.
+    /// The part of the body that had been received when forwarding began.
     pub(super) body_start: Bytes,
     pub(super) route: &'a Route,
-    /// Version of the configuration that it is handled by.
-    pub(super) config: route::Version,
+    /// Version of the configuration that the request is handled by.
+    pub(super) config_version: route::Version,
     pub(super) service: ServiceName,
     pub(super) most_urgent: bool,
-    pub(super) arrived: Instant,
-    /// Whether its caller has left.
+    pub(super) received_at: Instant,
+    /// Whether the caller has left.
     pub(super) caller_left: Rc<Cell<bool>>,
-    /// How long its caller had been trying by then.
-    pub(super) tried_for: Duration,
+    /// How long the caller had been retrying when the request was received.
+    pub(super) retrying_for: Duration,
     pub(super) deadline: Instant,
-    /// The sends so far, for the log.
-    pub(super) sends: RefCell<Vec<SendMade>>,
+    /// Sends so far, for the log.
+    pub(super) sends: RefCell<Vec<SendRecord>>,
 }
 
-/// One send of a request and what decided on it.
+/// One send of a request, and the prediction that it was based on.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct SendMade {
+pub(super) struct SendRecord {
     pub(super) upstream: UpstreamId,
     pub(super) at_ms: u64,
     pub(super) predicted_ms: u64,
-    /// Age of the report that the prediction rests on; `None` when there was none.
+    /// Age of the load report behind the prediction; `None` when there was none.
     pub(super) report_age_ms: Option<u64>,
 }
 
@@ -54,29 +54,29 @@
 pub(super) struct Choice {
     pub(super) upstream: Incarnation,
     pub(super) addr: SocketAddr,
-    /// Whether it is in another zone.
-    pub(super) far: bool,
-    pub(super) predicted: Duration,
+    /// Whether the upstream is in another zone.
+    pub(super) is_cross_zone: bool,
+    pub(super) predicted_latency: Duration,
     pub(super) report_age: Option<Duration>,
-    /// Whether it reported a moment ago that it is not slowed, and has room without being crowded. The
-    /// request's time then tells how much work it is: near full the same work takes half as long
-    /// again, and would be counted twice, in the work and in the prediction.
-    pub(super) unhindered: bool,
+    /// Whether the latency of the request measures its work: a recent report says that the upstream
+    /// runs at its usual speed, has a free slot and is not nearly full. Near full the same work takes
+    /// half as long again, which would be counted twice, in the work and in the prediction.
+    pub(super) latency_measures_work: bool,
 }
 
-/// Upstreams that a request was meant for.
+/// Upstreams that were chosen for a request so far.
 #[derive(Default)]
 pub(super) struct Tried {
     pub(super) upstreams: Vec<Incarnation>,
-    /// How many of them it may have reached.
-    pub(super) arrived: u32,
+    /// How many of them the request may have reached.
+    pub(super) reached: u32,
 }
 
 impl Tried {
-    /// Takes how the only send under way ended.
-    pub(super) fn ended(&mut self, outcome: Outcome) -> Outcome {
+    /// Records the outcome of the only send in flight and returns it.
+    pub(super) fn record_outcome(&mut self, outcome: Outcome) -> Outcome {
         if matches!(outcome, Outcome::NotSent) {
-            self.arrived -= 1;
+            self.reached -= 1;
         }
         outcome
     }
@@ -84,54 +84,55 @@
 
 /// Why no upstream was chosen.
 pub(super) enum NoChoice {
-    /// There is none that may get it.
-    NoUpstream { come_back: Duration },
-    /// Nobody waits for the answer any more.
+    /// No upstream may get the request.
+    NoUpstream { retry_after: Duration },
+    /// The caller has left.
     CallerLeft,
-    /// It crashes upstreams.
-    HeldBack { come_back: Duration },
-    /// The best one would answer too late.
-    Refused {
-        come_back: Duration,
+    /// The request crashes upstreams.
+    Quarantined { retry_after: Duration },
+    /// Even the best upstream would respond too late.
+    TooLate {
+        retry_after: Duration,
         best: Incarnation,
-        predicted: Duration,
-        wait: Duration,
+        predicted_latency: Duration,
+        queue_time: Duration,
         report_age: Option<Duration>,
     },
 }
 
 impl Call<'_> {
-    pub(super) fn left(&self) -> Duration {
+    pub(super) fn deadline_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Returns the time within which an answer is worth most to its caller.
+    /// Returns the time left of the latency objective; the time for which the caller has been retrying
+    /// counts against it.
     pub(super) fn objective_left(&self) -> Duration {
-        let left = self.route.objective.saturating_sub(self.tried_for);
-        (self.arrived + left).saturating_duration_since(Instant::now())
+        let left = self.route.objective.saturating_sub(self.retrying_for);
+        (self.received_at + left).saturating_duration_since(Instant::now())
     }
 
     pub(super) fn repeatable(&self) -> bool {
         self.route.retry_policy == RetryPolicy::Idempotent
     }
 
-    /// Returns what it asks: the same under each id that its caller gives it. Requests in no
-    /// trouble never need to know, and are spared the digest.
+    /// Returns the content key: the same for all request ids that the caller uses. It is computed on
+    /// first use, so that most requests are spared the digest.
     pub(super) fn content(&self) -> ContentKey {
         *self.content.get_or_init(|| content::of(self.head, &self.body_start))
     }
 
     /// Begins a log line about the request.
-    pub(super) fn line(&self, event: &'static str) -> trace::Line {
+    pub(super) fn log_line(&self, event: &'static str) -> trace::Line {
         trace::Line::new(event)
             .field("request", self.request_id.to_str().unwrap_or("?"))
             .field("content", self.content())
             .field("route", self.route.name.as_str())
             .field("service", self.service.as_str())
-            .field("config", self.config)
-            .field("age_ms", as_ms(self.arrived.elapsed()))
-            .field("tried_ms", as_ms(self.tried_for))
-            .field("left_ms", as_ms(self.left()))
+            .field("config", self.config_version)
+            .field("age_ms", as_ms(self.received_at.elapsed()))
+            .field("tried_ms", as_ms(self.retrying_for))
+            .field("left_ms", as_ms(self.deadline_left()))
             .field("sends", &*self.sends.borrow())
     }
 }
--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream for the next send of a request.
+//! Choice of the upstream for the next send of a request.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -7,212 +7,225 @@
 use rand::Rng;
 
 use super::call::{Call, Choice, NoChoice};
-use super::{Node, COME_BACK_NOT_READY};
+use super::{Node, RETRY_AFTER_NOT_READY};
 use crate::{probe, start_of};
 
-/// Upstreams asked for their load at once, and how often before one choice.
-const ASK_AT_ONCE: usize = 3;
-const ASK_ROUNDS: usize = 2;
+/// Upstreams probed for their load at once, and rounds of probes before one choice.
+const MAX_PROBES_PER_ROUND: usize = 3;
+const MAX_PROBE_ROUNDS: usize = 2;
 
-/// Upstreams asked over a new connection, in the first round only.
-const ASK_NEW: usize = 2;
+/// Upstreams probed over a new connection, in the first round only.
+const MAX_PROBES_ON_NEW_CONNECTIONS: usize = 2;
 
-/// Requests that a connection must be expected to carry for a question to be worth opening it beside
-/// one in use. Where a node sends an upstream a request every nine seconds, a second connection is
-/// closed before it is used again: 4,053 of the 9,270 connections of a quiet day of 312 nodes. Where it
-/// sends several a second, reports would be missed without it.
-const CARRIES_LEAST: f64 = 2.0;
+/// Requests that an additional connection must be expected to carry for a probe to be worth opening
+/// it. Where a node sends an upstream one request every nine seconds, a second connection is closed
+/// before it is reused: that made up 4,053 of the 9,270 connections of 312 nodes on a quiet day. Where
+/// a node sends several requests a second, load reports would be missed without it.
+const MIN_REQUESTS_PER_CONNECTION: f64 = 2.0;
 
-/// How long a connection rests before it is closed: upstreams were seen to state ten seconds.
-const RESTS_FOR: Duration = Duration::from_secs(9);
+/// Time after which an idle connection is closed: upstreams typically state ten seconds, of which the
+/// last second is not used.
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// Connections that a node may have to an upstream however many nodes there are.
-const CONNECTIONS_LEAST: u32 = 2;
+/// Connections that a node may open to an upstream however many nodes share its limit.
+const MIN_CONNECTIONS_PER_UPSTREAM: u32 = 2;
 
-/// Shortest time after which a caller comes back when no upstream may get its request.
-const COME_BACK_LEAST: Duration = Duration::from_millis(50);
+/// Shortest `Retry-After` when no upstream may get a request.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Part of that time by which it is longer at most, so that callers do not return at the same moment.
-const COME_BACK_SPREAD: f64 = 0.25;
+/// Longest random extension of that time, as a ratio of it, so that callers do not retry all at the
+/// same moment.
+const RETRY_AFTER_JITTER_RATIO: f64 = 0.25;
 
-/// Whether a request may wait at the node for room.
+/// Whether a request may wait at the node for a free slot of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Patience {
-    /// It may: nothing is under way for it.
-    Waits,
-    /// It may not: it is under way already.
-    None,
+pub(super) enum WaitPolicy {
+    /// It may: no send of it is in flight.
+    Allowed,
+    /// It may not: a send of it is in flight already.
+    Forbidden,
 }
 
 impl Node {
-    /// Chooses the upstream for the next send, asking some for their load first where it helps, and
-    /// waiting for room where the request can still be in time.
+    /// Chooses the upstream for the next send. Probes upstreams for their load first where that helps,
+    /// and waits for a free slot where the request can still be in time.
     pub(super) async fn choose(
         self: &Rc<Node>,
         call: &Call<'_>,
         tried: &[Incarnation],
-        patience: Patience,
+        wait_policy: WaitPolicy,
     ) -> Result<Choice, NoChoice> {
-        self.not_held_back(call)?;
-        let mut ranked = self.ask_and_rank(call, tried, ASK_ROUNDS, ASK_NEW).await;
-        let mut looks = 0;
+        self.check_quarantine(call)?;
+        let mut ranked =
+            self.probe_and_rank(call, tried, MAX_PROBE_ROUNDS, MAX_PROBES_ON_NEW_CONNECTIONS).await;
+        let mut rechecks = 0;
         loop {
-            let may_look = (patience == Patience::Waits).then_some(looks);
-            // The word that holds it back may come while upstreams are asked, or while it waits.
-            let verdict = self.not_held_back(call)?;
-            // Its caller may have left meanwhile.
+            let rechecks_allowed = (wait_policy == WaitPolicy::Allowed).then_some(rechecks);
+            // The request may be quarantined while upstreams are probed, or while it waits.
+            let decision = self.check_quarantine(call)?;
+            // The caller may have left meanwhile.
             if call.caller_left.get() {
                 return Err(NoChoice::CallerLeft);
             }
             let mut best = ranked.first().ok_or_else(|| self.no_upstream(call))?;
-            if verdict == quarantine::Decision::Isolate {
-                best = self.apart(call, &ranked).unwrap_or(best);
+            if decision == quarantine::Decision::Isolate {
+                best = self.choose_isolated(call, &ranked).unwrap_or(best);
             }
-            match self.judge(call, best, may_look) {
+            match self.admit(call, best, rechecks_allowed) {
                 Decision::Send => {
                     return self.choice(call, best).ok_or_else(|| self.no_upstream(call));
                 }
                 Decision::Refuse { retry_after } => {
-                    return Err(self.refusal(call, best, retry_after))
+                    return Err(self.too_late(call, best, retry_after))
                 }
                 Decision::Wait(pause) => monoio::time::sleep(pause).await,
             }
-            looks += 1;
-            ranked = self.ask_and_rank(call, tried, 1, 0).await;
+            rechecks += 1;
+            ranked = self.probe_and_rank(call, tried, 1, 0).await;
         }
     }
 
-    /// Ranks the upstreams, after up to `rounds` of questions; in the first of them up to `most_new`
-    /// go over new connections.
-    async fn ask_and_rank(
+    /// Ranks the upstreams after up to `rounds` of probes. Up to `max_new_connections` probes of the
+    /// first round go over new connections.
+    async fn probe_and_rank(
         self: &Rc<Node>,
         call: &Call<'_>,
         tried: &[Incarnation],
         rounds: usize,
-        most_new: usize,
+        max_new_connections: usize,
     ) -> Vec<Candidate> {
         let mut ranked = self.rank(call, tried);
         for round in 0..rounds {
-            let upstreams = self.to_ask(call, &ranked, if round == 0 { most_new } else { 0 });
+            let upstreams =
+                self.probe_targets(call, &ranked, if round == 0 { max_new_connections } else { 0 });
             if upstreams.is_empty() {
                 break;
             }
-            probe::ask(self, &call.service, upstreams, call.route.objective).await;
+            probe::probe_all(self, &call.service, upstreams, call.route.objective).await;
             ranked = self.rank(call, tried);
         }
         ranked
     }
 
-    fn judge(&self, call: &Call<'_>, best: &Candidate, rechecks: Option<u32>) -> Decision {
-        let room = place::AdmissionRequest {
-            deadline_left: call.left(),
+    fn admit(&self, call: &Call<'_>, best: &Candidate, rechecks: Option<u32>) -> Decision {
+        let admission = place::AdmissionRequest {
+            deadline_left: call.deadline_left(),
             objective_left: call.objective_left(),
             most_urgent: call.most_urgent,
             rechecks,
         };
-        place::admit(best, room, &mut self.state.borrow_mut().rng)
+        place::admit(best, admission, &mut self.state.borrow_mut().rng)
     }
 
-    /// Returns the choice of a candidate that was ranked just now.
+    /// Records a candidate that was just ranked as chosen and returns the choice.
     fn choice(&self, call: &Call<'_>, best: &Candidate) -> Option<Choice> {
         let state = &mut *self.state.borrow_mut();
         let pool = state.pools.get_mut(&call.service)?;
         pool.record_chosen(best);
         let upstream = pool.upstreams().get(best.index)?;
         let report = upstream.report(Instant::now());
-        let at_its_best =
+        let is_at_full_speed =
             |(load, _): (place::Load, _)| load.is_at_usual_speed() && load.has_free_slot();
         Some(Choice {
             upstream: upstream.incarnation.clone(),
             addr: upstream.addr,
-            far: upstream.zone != state.settings.zone,
-            predicted: best.prediction.latency,
+            is_cross_zone: upstream.zone != state.settings.zone,
+            predicted_latency: best.prediction.latency,
             report_age: report.map(|(_, age)| age),
-            unhindered: best.has_fresh_report
+            latency_measures_work: best.has_fresh_report
                 && !best.prediction.nearly_full
-                && report.is_some_and(at_its_best),
+                && report.is_some_and(is_at_full_speed),
         })
     }
 
-    fn refusal(&self, call: &Call<'_>, best: &Candidate, come_back: Duration) -> NoChoice {
+    fn too_late(&self, call: &Call<'_>, best: &Candidate, retry_after: Duration) -> NoChoice {
         let state = self.state.borrow();
         let pool = state.pools.get(&call.service);
         let Some(upstream) = pool.and_then(|pool| pool.upstreams().get(best.index)) else {
             drop(state);
             return self.no_upstream(call);
         };
-        NoChoice::Refused {
-            come_back,
+        NoChoice::TooLate {
+            retry_after,
             best: upstream.incarnation.clone(),
-            predicted: best.prediction.latency,
-            wait: best.prediction.queue_time,
+            predicted_latency: best.prediction.latency,
+            queue_time: best.prediction.queue_time,
             report_age: upstream.report(Instant::now()).map(|(_, age)| age),
         }
     }
 
-    /// Tells a request that no upstream may get when to come back: when the first one may get a request
-    /// again, if that is known.
+    /// Returns when the caller of a request that no upstream may get is to retry: when the first of
+    /// them may get requests again, if that is known.
     fn no_upstream(&self, call: &Call<'_>) -> NoChoice {
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
         let pool = state.pools.get(&call.service);
-        let homes = state.settings.home_zones(&call.route.allowed_regions);
+        let allowed_zones = state.settings.home_zones(&call.route.allowed_regions);
         let may_serve = |u: &&place::Upstream| {
-            let is_home = homes.as_ref().is_none_or(|homes| homes.contains(&u.zone));
-            is_home && !state.evacuations.is_evacuated(&u.zone)
+            let is_allowed =
+                allowed_zones.as_ref().is_none_or(|allowed_zones| allowed_zones.contains(&u.zone));
+            is_allowed && !state.evacuations.is_evacuated(&u.zone)
         };
         let upstreams = pool.into_iter().flat_map(|pool| pool.upstreams()).filter(may_serve);
         let starts = upstreams.map(|u| start_of(&u.incarnation));
-        let come_back =
-            state.notices.retry_after(starts, now).map_or(COME_BACK_NOT_READY, |left| {
-                let spread = 1.0 + COME_BACK_SPREAD * state.rng.random::<f64>();
-                left.mul_f64(spread).clamp(COME_BACK_LEAST, notice::MAX_RETRY_AFTER)
+        let retry_after =
+            state.notices.retry_after(starts, now).map_or(RETRY_AFTER_NOT_READY, |left| {
+                let jitter = 1.0 + RETRY_AFTER_JITTER_RATIO * state.rng.random::<f64>();
+                left.mul_f64(jitter).clamp(MIN_RETRY_AFTER, notice::MAX_RETRY_AFTER)
             });
-        NoChoice::NoUpstream { come_back }
+        NoChoice::NoUpstream { retry_after }
     }
 
     fn rank(&self, call: &Call<'_>, tried: &[Incarnation]) -> Vec<Candidate> {
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
-        state.deal_limits(now);
+        state.update_limit_shares(now);
         let Some(pool) = state.pools.get(&call.service) else { return Vec::new() };
-        let homes = state.settings.home_zones(&call.route.allowed_regions);
-        let ask = place::SelectionCriteria {
+        let allowed_zones = state.settings.home_zones(&call.route.allowed_regions);
+        let criteria = place::SelectionCriteria {
             policy: state.settings.policy,
             work: state.works.work(&call.route.name, call.route.objective),
             objective_left: call.objective_left(),
             zone: &state.settings.zone,
             cross_zone_cost: state.settings.cross_zone_cost_per_kib
                 * state.works.size_kib(&call.route.name),
-            allowed_zones: homes.as_ref(),
+            allowed_zones: allowed_zones.as_ref(),
             warm_up: state.warm_up(&call.service, now),
             tried,
             repeatable: call.repeatable(),
         };
-        // Upstreams reset connections beyond those that they take from all nodes together; what was
-        // sent on one may have run.
+        // Upstreams reset connections beyond their limit for all nodes together, and a request sent
+        // on one that is reset may have run.
         let service = state.table.as_ref().and_then(|table| table.services.get(&call.service));
-        let most = service.map_or(u32::MAX, |service| service.max_connections);
-        let share = (most / state.fleet_size() as u32).max(CONNECTIONS_LEAST);
-        let carries = state.first_sends_per_s(&call.service, now) * RESTS_FOR.as_secs_f64()
+        let max_connections = service.map_or(u32::MAX, |service| service.max_connections);
+        let share = (max_connections / state.fleet_size() as u32).max(MIN_CONNECTIONS_PER_UPSTREAM);
+        let requests_per_connection = state.first_sends_per_s(&call.service, now)
+            * CONNECTION_IDLE_TIMEOUT.as_secs_f64()
             / pool.compared_count() as f64;
         let notices = &state.notices;
         let may_send = |upstream: &Incarnation| {
             notices.is_empty() || notices.may_send(start_of(upstream), now)
         };
-        let reach = |upstream: &Incarnation| match self.conns.open_count(upstream) {
+        let connection_plan = |upstream: &Incarnation| match self.conns.open_count(upstream) {
             _ if !may_send(upstream) => ConnectionPlan::Unavailable,
             0 => ConnectionPlan::Open,
-            _ if self.conns.has(upstream) => ConnectionPlan::Reuse,
-            open if open < share && carries >= CARRIES_LEAST => ConnectionPlan::Open,
+            _ if self.conns.has_idle(upstream) => ConnectionPlan::Reuse,
+            open if open < share && requests_per_connection >= MIN_REQUESTS_PER_CONNECTION => {
+                ConnectionPlan::Open
+            }
             open if open < share => ConnectionPlan::OpenAdditional,
             _ => ConnectionPlan::Unavailable,
         };
-        pool.rank(ask, reach, now, &mut state.rng)
+        pool.rank(criteria, connection_plan, now, &mut state.rng)
     }
 
-    /// Returns the upstreams to ask for their load, within the budget of probes.
-    fn to_ask(&self, call: &Call<'_>, ranked: &[Candidate], most_new: usize) -> Vec<Incarnation> {
+    /// Returns the upstreams to probe for their load, within the budget of probes.
+    fn probe_targets(
+        &self,
+        call: &Call<'_>,
+        ranked: &[Candidate],
+        max_new_connections: usize,
+    ) -> Vec<Incarnation> {
         let upstreams: Vec<Incarnation> = {
             let state = self.state.borrow();
             match state.pools.get(&call.service) {
@@ -220,7 +233,7 @@
                     if pool.reports_load() != Some(false)
                         && state.settings.policy == place::Policy::Reports =>
                 {
-                    pool.probe_targets(ranked, ASK_AT_ONCE, most_new)
+                    pool.probe_targets(ranked, MAX_PROBES_PER_ROUND, max_new_connections)
                         .into_iter()
                         .map(|index| pool.upstreams()[index].incarnation.clone())
                         .collect()
@@ -228,7 +241,7 @@
                 _ => Vec::new(),
             }
         };
-        let taken = self.take_probes(&call.service, upstreams.len());
-        upstreams.into_iter().take(taken).collect()
+        let granted = self.take_from_probe_budget(&call.service, upstreams.len());
+        upstreams.into_iter().take(granted).collect()
     }
 }
--- a/crates/edge/src/forward/content.rs
+++ b/crates/edge/src/forward/content.rs
@@ -1,16 +1,16 @@
-//! What a request asks, as a key that is the same for each attempt.
+//! Content key of a request, which is the same for all attempts of its caller.
 
 use quarantine::ContentKey;
 use web::h1;
 
-/// Bytes of a body that count. So much of a long one is at hand before it is sent on, however it
-/// comes in; what follows does not tell two attempts apart.
-const BODY_BYTES: usize = 64 * 1024;
+/// Longest part of a body that the key covers. That much of a streamed body has always been received
+/// before forwarding begins, so all attempts get the same key; the remainder does not count.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Returns what a request asks: its method, host and target, who asks, and its body.
+/// Returns the content key of a request: a digest of its method, host, target, credentials and body.
 ///
-/// Its id and its deadline are new with each attempt, and from where it is sent says little of who
-/// asks. `body` is its body as far as it was received before it was sent on.
+/// Request id and deadline differ between attempts, and the caller's address says little about who it
+/// is, so they are left out. `body` is the part of the body received before forwarding began.
 pub(crate) fn of(head: &h1::RequestHead, body: &[u8]) -> ContentKey {
     let line = [head.method.as_str(), head.host.as_str(), head.target.as_str()].map(str::as_bytes);
     let caller = web::credentials(&head.headers);
@@ -18,7 +18,7 @@
         h1::Framing::Length(length) => length.to_be_bytes(),
         _ => Default::default(),
     };
-    let body = [length.as_slice(), &body[..body.len().min(BODY_BYTES)]];
+    let body = [length.as_slice(), &body[..body.len().min(MAX_BODY_BYTES)]];
     ContentKey::of(line.into_iter().chain(caller).chain(body))
 }
 
--- a/crates/edge/src/forward/notices.rs
+++ b/crates/edge/src/forward/notices.rs
@@ -1,4 +1,4 @@
-//! Keeps to what upstreams state about themselves in their answers.
+//! Applies the backpressure signals that upstreams state in their responses.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -13,23 +13,23 @@
 use crate::{as_ms, moment, readers, start_of};
 
 impl Node {
-    /// Takes what an answer of `upstream` states about it; see [`notice::Backpressure::apply_signals`].
-    pub(crate) fn hear_notice(
+    /// Applies the signals of a response of `upstream`; see [`notice::Backpressure::apply_signals`].
+    pub(crate) fn apply_signals(
         &self,
         upstream: &Incarnation,
         status: StatusCode,
         headers: &HeaderMap,
-        asked_at: Option<Instant>,
+        requested_at: Option<Instant>,
     ) {
-        // Another upstream has the address: it speaks of itself.
+        // The address belongs to another upstream, which states its own signals.
         if status == StatusCode::MISDIRECTED_REQUEST {
             return;
         }
         let changes = {
             let state = &mut *self.state.borrow_mut();
-            let stated = Signals::from_response(status, headers, &state.settings.headers.notices);
-            stated.invalid_fields().for_each(|what| log_unreadable(upstream, what));
-            state.notices.apply_signals(start_of(upstream), &stated, asked_at, moment())
+            let signals = Signals::from_response(status, headers, &state.settings.headers.notices);
+            signals.invalid_fields().for_each(|what| log_invalid_signal(upstream, what));
+            state.notices.apply_signals(start_of(upstream), &signals, requested_at, moment())
         };
         changes.iter().for_each(|change| log_change(upstream.id(), *change, "this node"));
         if changes.contains(&Change::Leaving) {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Takes what a peer tells of an upstream.
-    pub(crate) fn hear_peer_notice(&self, notice: &Notice) {
+    /// Applies what a peer reports of an upstream.
+    pub(crate) fn apply_peer_notice(&self, notice: &Notice) {
         let state = &mut *self.state.borrow_mut();
         let Some(change) = state.notices.apply_notice(notice, moment()) else { return };
         let upstreams = state.pools.values().flat_map(|pool| pool.upstreams());
@@ -55,9 +55,9 @@
 }
 
 impl State {
-    /// Deals out limits anew if that is due. A node that has just started knows few of the others, and
-    /// sends to limited upstreams nothing.
-    pub(crate) fn deal_limits(&mut self, now: Instant) {
+    /// Recomputes this node's shares of the limits of upstreams if that is due. A node that has just
+    /// started knows few of its peers, and sends nothing to limited upstreams until it does.
+    pub(crate) fn update_limit_shares(&mut self, now: Instant) {
         if !self.notices.shares_outdated() || !readers::knows_peers(self, now) {
             return;
         }
@@ -88,7 +88,7 @@
     line.field("upstream", upstream).field("told_by", told_by).log();
 }
 
-fn log_unreadable(upstream: &Incarnation, what: &'static str) {
+fn log_invalid_signal(upstream: &Incarnation, what: &'static str) {
     trace::Line::new("notice_unreadable")
         .field("upstream", upstream.id())
         .field("what", what)
--- /dev/null
+++ b/crates/edge/src/forward/retries.rs
@@ -0,0 +1,297 @@
+//! The sends of one request: retries one after the other, and hedges beside an overdue send.
+
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use http::{HeaderValue, StatusCode};
+use quarantine::Decision;
+use web::h1;
+
+use super::call::{Call, Choice, NoChoice, Tried};
+use super::choose::WaitPolicy;
+use super::{Body, Node, Reply};
+use crate::as_ms;
+use crate::exchange::{Outcome, Response, SendResult};
+use crate::reply::Own;
+
+/// A request is hedged once it has taken this many times its predicted latency: with a smaller ratio
+/// the ordinary variance of the work would use up the budget.
+const MIN_HEDGE_LATENCY_RATIO: f64 = 1.4;
+
+/// A request whose latency objective no hedge can meet is hedged only after this many times its
+/// predicted latency, or when a hedge can only just end before the deadline: its upstream has likely
+/// gone silent.
+const MIN_LATE_HEDGE_LATENCY_RATIO: f64 = 4.0;
+
+/// Upstreams tried for one request at most, unreachable ones included.
+const MAX_UPSTREAMS_TRIED: usize = 4;
+
+/// `Retry-After` when upstreams refused a request and the node may not send it again. Their refusal
+/// says nothing about other upstreams, and each further attempt earns the fleet retry budget.
+const RETRY_AFTER_UPSTREAM_REFUSAL: Duration = Duration::from_millis(10);
+
+/// What the caller is told if no further send is allowed: nothing final came from the sends so far.
+enum Fallback {
+    /// No upstream can have run it.
+    NotRun,
+    /// An upstream may have run it.
+    MayHaveRun,
+    /// An upstream responded with a server error, which is passed on unless a better response comes.
+    Error(Response),
+}
+
+impl Fallback {
+    /// Returns the state after a send that may have run and got no response.
+    fn after_lost_send(self) -> Fallback {
+        match self {
+            Fallback::Error(response) => Fallback::Error(response),
+            Fallback::NotRun | Fallback::MayHaveRun => Fallback::MayHaveRun,
+        }
+    }
+}
+
+/// Returns true for a response that is passed on even if the request could be sent again.
+fn is_final(outcome: &Outcome) -> bool {
+    matches!(outcome, Outcome::Answered(response) if !response.head.status.is_server_error())
+}
+
+/// Combines the outcomes of two sends of a request, of which the earlier has no final response.
+///
+/// The refusal of one send says nothing about the other, which may have run.
+fn combine(earlier: Outcome, later: Outcome) -> Outcome {
+    let may_have_run =
+        |outcome: &Outcome| matches!(outcome, Outcome::Answered(_) | Outcome::Lost(_));
+    match may_have_run(&earlier) && !may_have_run(&later) {
+        true => earlier,
+        false => later,
+    }
+}
+
+impl Node {
+    /// Sends the request to upstreams until one responds or no further send is allowed.
+    pub(super) async fn send_with_retries(
+        self: &Rc<Node>,
+        call: &Call<'_>,
+        body: Body<'_>,
+    ) -> Reply {
+        let buffered = match body {
+            Body::Whole(buffered) => buffered,
+            Body::Long { first, reader, decoder } => {
+                return self.send_streaming(call, first, reader, decoder).await
+            }
+        };
+        let mut tried = Tried::default();
+        let mut fallback = Fallback::NotRun;
+        loop {
+            let choice = match self.choose(call, &tried.upstreams, WaitPolicy::Allowed).await {
+                Ok(choice) => choice,
+                Err(why) => return self.refuse(call, why, fallback),
+            };
+            if tried.upstreams.is_empty() {
+                self.state.borrow_mut().first_send(&call.service);
+            } else if tried.reached > 0 && !self.state.borrow_mut().second_send(&call.service) {
+                call.log_line("second_send_over_budget").log();
+                return give_up(fallback, RETRY_AFTER_UPSTREAM_REFUSAL);
+            }
+            let outcome = self.send_hedged(call, choice, &mut tried, &buffered).await;
+            let attempts_left = tried.reached < call.route.attempts;
+            match outcome {
+                Outcome::NotSent if tried.upstreams.len() < MAX_UPSTREAMS_TRIED => {}
+                Outcome::NotSent => return give_up(fallback, RETRY_AFTER_UPSTREAM_REFUSAL),
+                Outcome::Answered(response) if !response.head.status.is_server_error() => {
+                    return Reply::Upstream(response)
+                }
+                Outcome::Answered(response) if !call.repeatable() || !attempts_left => {
+                    return Reply::Upstream(response)
+                }
+                Outcome::Answered(response) => fallback = Fallback::Error(response),
+                Outcome::NotRun(..) if attempts_left => {}
+                Outcome::NotRun(..) => return give_up(fallback, RETRY_AFTER_UPSTREAM_REFUSAL),
+                Outcome::Lost(_) => {
+                    fallback = fallback.after_lost_send();
+                    // A request that has crashed two upstreams would likely crash a third. Its caller
+                    // is told that it may have run, and can retry.
+                    if !call.repeatable() || !attempts_left || self.has_repeated_crashes(call) {
+                        return give_up(fallback, RETRY_AFTER_UPSTREAM_REFUSAL);
+                    }
+                }
+            }
+        }
+    }
+
+    fn refuse(&self, call: &Call<'_>, why: NoChoice, fallback: Fallback) -> Reply {
+        let line = call.log_line("refused");
+        let (line, retry_after) = match why {
+            NoChoice::CallerLeft => return give_up(fallback, RETRY_AFTER_UPSTREAM_REFUSAL),
+            NoChoice::Quarantined { retry_after } => {
+                self.state.borrow_mut().counters.refused_crashing += 1;
+                (line.field("reason", "crashes upstreams"), retry_after)
+            }
+            NoChoice::NoUpstream { retry_after } => {
+                let state = self.state.borrow();
+                let (zones, now) = (state.evacuations.zones(), Instant::now());
+                let line = line
+                    .field("reason", "no upstream")
+                    .field("evacuated", zones)
+                    .field("limited", state.notices.limited_count(now))
+                    .field("leaving", state.notices.leaving_count(now))
+                    .field("resting", state.notices.backoff_count(now));
+                (line, retry_after)
+            }
+            NoChoice::TooLate { retry_after, best, predicted_latency, queue_time, report_age } => {
+                let line = line
+                    .field("reason", "would be too late")
+                    .field("best", best.id())
+                    .field("predicted_ms", as_ms(predicted_latency))
+                    .field("wait_ms", as_ms(queue_time))
+                    .field("report_age_ms", report_age.map(as_ms));
+                (line, retry_after)
+            }
+        };
+        line.field("come_back_ms", as_ms(retry_after)).log();
+        give_up(fallback, retry_after)
+    }
+
+    /// Sends the request once, and hedges when the response is overdue and the request may be repeated.
+    async fn send_hedged(
+        self: &Rc<Node>,
+        call: &Call<'_>,
+        choice: Choice,
+        tried: &mut Tried,
+        body: &Bytes,
+    ) -> Outcome {
+        tried.upstreams.push(choice.upstream.clone());
+        tried.reached += 1;
+        let mut first = pin!(self.send(call, &choice, body));
+        let at = |factor: f64| call.received_at + choice.predicted_latency.mul_f64(factor);
+        let last_hedge_at = call.deadline
+            - choice.predicted_latency.mul_f64(MIN_HEDGE_LATENCY_RATIO).min(call.deadline_left());
+        for (factor, due) in [
+            (MIN_HEDGE_LATENCY_RATIO, at(MIN_HEDGE_LATENCY_RATIO)),
+            (MIN_LATE_HEDGE_LATENCY_RATIO, at(MIN_LATE_HEDGE_LATENCY_RATIO).min(last_hedge_at)),
+        ] {
+            let timer = due.saturating_duration_since(Instant::now());
+            monoio::select! {
+                outcome = &mut first => return tried.record_outcome(outcome),
+                () = monoio::time::sleep(timer) => {}
+            }
+            self.record_overdue(call, &choice, factor);
+            // A concurrent copy of a suspected request could crash a second upstream.
+            let may_hedge = call.repeatable()
+                && tried.reached < call.route.attempts
+                && self.quarantine_decision(call) == Decision::Allow;
+            let is_futile = factor < MIN_LATE_HEDGE_LATENCY_RATIO
+                && call.objective_left() < choice.predicted_latency;
+            if !may_hedge || is_futile {
+                continue;
+            }
+            // A response that comes while another upstream is being chosen is returned at once.
+            let other = monoio::select! {
+                outcome = &mut first => return tried.record_outcome(outcome),
+                other = self.choose(call, &tried.upstreams, WaitPolicy::Forbidden) => other,
+            };
+            let Ok(other) = other else { continue };
+            if !self.state.borrow_mut().hedge(&call.service) {
+                continue;
+            }
+            call.log_line("hedged")
+                .field("upstream", choice.upstream.id())
+                .field("other", other.upstream.id())
+                .log();
+            tried.upstreams.push(other.upstream.clone());
+            tried.reached += 1;
+            let mut second = pin!(self.send(call, &other, body));
+            return monoio::select! {
+                outcome = &mut first => match is_final(&outcome) {
+                    true => outcome,
+                    false => combine(outcome, second.await),
+                },
+                outcome = &mut second => match is_final(&outcome) {
+                    true => outcome,
+                    false => combine(outcome, first.await),
+                },
+            };
+        }
+        tried.record_outcome(first.await)
+    }
+
+    /// Records that an upstream has not responded for `factor` times the predicted latency.
+    fn record_overdue(&self, call: &Call<'_>, choice: &Choice, factor: f64) {
+        if !choice.latency_measures_work {
+            return;
+        }
+        if let Some(pool) = self.state.borrow_mut().pools.get_mut(&call.service) {
+            pool.record_latency_ratio(&choice.upstream, factor, Instant::now());
+        }
+    }
+
+    /// Sends a request whose body was received in full to the chosen upstream.
+    async fn send(self: &Rc<Node>, call: &Call<'_>, choice: &Choice, body: &Bytes) -> Outcome {
+        let length = call.head.framing != h1::Framing::Empty;
+        let length = length.then(|| HeaderValue::from(body.len()));
+        let write_rest = async |_: &mut h1::Writer| SendResult::Complete;
+        let framing = length.map(|length| (http::header::CONTENT_LENGTH, length));
+        self.send_with(call, choice, framing, body, write_rest).await
+    }
+
+    /// Sends a request whose body is still being received. It is never sent a second time.
+    async fn send_streaming(
+        self: &Rc<Node>,
+        call: &Call<'_>,
+        first: Bytes,
+        reader: &mut h1::Reader,
+        decoder: &mut h1::Decoder,
+    ) -> Reply {
+        let choice = match self.choose(call, &[], WaitPolicy::Allowed).await {
+            Ok(choice) => choice,
+            Err(why) => return self.refuse(call, why, Fallback::NotRun),
+        };
+        self.state.borrow_mut().first_send(&call.service);
+        let chunked = !matches!(call.head.framing, h1::Framing::Length(_));
+        let (framing, first) = match call.head.framing {
+            h1::Framing::Length(length) => {
+                ((http::header::CONTENT_LENGTH, HeaderValue::from(length)), first)
+            }
+            _ => {
+                let coding = HeaderValue::from_static("chunked");
+                ((http::header::TRANSFER_ENCODING, coding), h1::encode_chunk(&first).into())
+            }
+        };
+        let write_rest = async |writer: &mut h1::Writer| loop {
+            let bytes = match reader.body_piece(decoder).await {
+                Ok(Some(piece)) if chunked => h1::encode_chunk(&piece),
+                Ok(Some(piece)) => piece.to_vec(),
+                Ok(None) if chunked => {
+                    let last = writer.write(h1::LAST_CHUNK.to_vec()).await;
+                    return last.map_or(SendResult::UpstreamClosed, |()| SendResult::Complete);
+                }
+                Ok(None) => return SendResult::Complete,
+                Err(_) => return SendResult::CallerLeft,
+            };
+            if writer.write(bytes).await.is_err() {
+                return SendResult::UpstreamClosed;
+            }
+        };
+        match self.send_with(call, &choice, Some(framing), &first, write_rest).await {
+            Outcome::Answered(response) => Reply::Upstream(response),
+            Outcome::NotRun(..) | Outcome::NotSent => {
+                give_up(Fallback::NotRun, RETRY_AFTER_UPSTREAM_REFUSAL)
+            }
+            Outcome::Lost(why) => Reply::Own(Own::failed(StatusCode::BAD_GATEWAY, why)),
+        }
+    }
+}
+
+/// Returns the response to a request that gets no further send.
+fn give_up(fallback: Fallback, retry_after: Duration) -> Reply {
+    match fallback {
+        Fallback::NotRun => Reply::Own(Own::not_run(retry_after, "not run; come back later")),
+        Fallback::MayHaveRun => {
+            let text = "no answer; the request may have run";
+            Reply::Own(Own::failed(StatusCode::BAD_GATEWAY, text))
+        }
+        Fallback::Error(response) => Reply::Upstream(response),
+    }
+}
--- a/crates/edge/src/forward/send.rs
+++ b/crates/edge/src/forward/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, and what its end tells of that upstream.
+//! One send of a request to one upstream, and what its outcome says about that upstream.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,18 +8,18 @@
 use place::RequestOutcome;
 use web::h1;
 
-use super::call::{Call, Choice, SendMade};
+use super::call::{Call, Choice, SendRecord};
 use super::Node;
-use crate::exchange::{self, Answer, AnswerTo, Outcome, Outgoing, Sent};
+use crate::exchange::{self, Outcome, OutgoingRequest, Response, ResponseTo, SendResult};
 use crate::state::Outstanding;
 use crate::{as_ms, start_of};
 
-/// An upstream is told a deadline that is earlier by this, so that its own
-/// answer at the deadline still reaches the caller.
+/// The deadline passed to an upstream is earlier by this, so that a response that it makes right at
+/// its deadline still reaches the caller.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(5);
 
-/// Longest time for a connection to an upstream to be made: a hundred times
-/// the round trip between zones; a lost opening packet takes seconds.
+/// Timeout for connecting to an upstream: a hundred times the round trip between zones. A lost SYN
+/// packet would take seconds to be sent again.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Node {
@@ -29,38 +29,38 @@
         choice: &Choice,
         framing: Option<(http::HeaderName, HeaderValue)>,
         body: &Bytes,
-        rest: F,
+        write_rest: F,
     ) -> Outcome
     where
-        F: AsyncFnOnce(&mut h1::Writer) -> Sent,
+        F: AsyncFnOnce(&mut h1::Writer) -> SendResult,
     {
-        call.sends.borrow_mut().push(SendMade {
+        call.sends.borrow_mut().push(SendRecord {
             upstream: choice.upstream.id.clone(),
-            at_ms: as_ms(call.arrived.elapsed()),
-            predicted_ms: as_ms(choice.predicted),
+            at_ms: as_ms(call.received_at.elapsed()),
+            predicted_ms: as_ms(choice.predicted_latency),
             report_age_ms: choice.report_age.map(as_ms),
         });
-        let counted = Outstanding::start(&self.state, &call.service, &choice.upstream);
+        let outstanding = Outstanding::start(&self.state, &call.service, &choice.upstream);
         self.state.borrow_mut().notices.record_send(start_of(&choice.upstream), Instant::now());
-        let (known, _under_way) = self.begin(call, &choice.upstream);
-        let sent_at = Instant::now();
-        let timeout = CONNECT_TIMEOUT.min(call.left());
+        let (version, _guard) = self.begin_attempt(call, &choice.upstream);
+        let started_at = Instant::now();
+        let timeout = CONNECT_TIMEOUT.min(call.deadline_left());
         let (upstream, addr) = (&choice.upstream, choice.addr);
         let connecting = async {
             match call.repeatable() {
                 true => self.connection(upstream, addr, timeout).await,
-                false => self.sure_connection(&call.service, upstream, addr, timeout).await,
+                false => self.verified_connection(&call.service, upstream, addr, timeout).await,
             }
         };
         let conn = match connecting.await {
             Ok(conn) => conn,
             Err(err) => {
-                self.unconnected(&choice.upstream, &err);
-                call.line("connect_failed")
+                self.record_connect_failure(&choice.upstream, &err);
+                call.log_line("connect_failed")
                     .field("upstream", choice.upstream.id())
                     .field("error", err.to_string())
                     .log();
-                counted.end(RequestOutcome::Failed);
+                outstanding.end(RequestOutcome::Failed);
                 return Outcome::NotSent;
             }
         };
@@ -69,27 +69,28 @@
         let mut bytes = h1::write_request(&call.head.method, &call.head.target, &headers);
         bytes.extend_from_slice(body);
         let (method, request_id) = (call.head.method.clone(), call.request_id.clone());
-        let outgoing = Outgoing { method, bytes, request_id };
-        self.state.borrow_mut().counters.far_sends += u64::from(choice.far);
-        let kept = conn.used;
-        let asked_at = Instant::now();
-        let hear = |head: &h1::ResponseHead, to: AnswerTo| {
-            let states_all = to == AnswerTo::This && head.status.is_success();
-            let asked_at = states_all.then_some(asked_at);
-            self.hear_notice(&choice.upstream, head.status, &head.headers, asked_at);
+        let outgoing = OutgoingRequest { method, bytes, request_id };
+        self.state.borrow_mut().counters.far_sends += u64::from(choice.is_cross_zone);
+        let was_reused = conn.used;
+        let requested_at = Instant::now();
+        let on_response_head = |head: &h1::ResponseHead, to: ResponseTo| {
+            let is_full_statement = to == ResponseTo::Current && head.status.is_success();
+            let requested_at = is_full_statement.then_some(requested_at);
+            self.apply_signals(&choice.upstream, head.status, &head.headers, requested_at);
         };
-        let (outcome, conn) = exchange::run(conn, outgoing, &names, hear, rest).await;
+        let (outcome, conn) =
+            exchange::run(conn, outgoing, &names, on_response_head, write_rest).await;
         match conn {
             Some(conn) => self.conns.put(&choice.upstream, conn),
-            // It was the one used last: those that rested longer are gone too.
-            None if kept && matches!(outcome, Outcome::Lost(exchange::BROKE)) => {
+            // It was the most recently used one: those that were idle for longer are gone too.
+            None if was_reused && matches!(outcome, Outcome::Lost(exchange::CONNECTION_BROKEN)) => {
                 self.conns.close(&choice.upstream);
             }
             None => {}
         }
-        self.learn(call, choice, &outcome, sent_at.elapsed());
-        counted.end(match &outcome {
-            Outcome::Answered(answer) if answer.head.status.is_server_error() => {
+        self.record_outcome(call, choice, &outcome, started_at.elapsed());
+        outstanding.end(match &outcome {
+            Outcome::Answered(response) if response.head.status.is_server_error() => {
                 RequestOutcome::Failed
             }
             Outcome::Answered(_) => RequestOutcome::Answered,
@@ -98,37 +99,43 @@
             Outcome::Lost(exchange::CALLER_LEFT) => RequestOutcome::Cancelled,
             Outcome::Lost(_) => RequestOutcome::Failed,
         });
-        if matches!(outcome, Outcome::Lost(why) if exchange::ends_connection(why)) {
-            self.lost(call, choice, known, sent_at.elapsed()).await;
+        if matches!(outcome, Outcome::Lost(why) if exchange::is_connection_loss(why)) {
+            self.detect_crash(call, choice, version, started_at.elapsed()).await;
         }
         outcome
     }
 
-    /// Takes what the end of a send tells of the upstream.
-    fn learn(&self, call: &Call<'_>, choice: &Choice, outcome: &Outcome, took: Duration) {
+    /// Records what the outcome of a send says about the upstream.
+    fn record_outcome(
+        &self,
+        call: &Call<'_>,
+        choice: &Choice,
+        outcome: &Outcome,
+        elapsed: Duration,
+    ) {
         let (upstream, service) = (&choice.upstream, &call.service);
         match outcome {
-            Outcome::Answered(answer) => {
-                self.take_load(service, upstream, &answer.head.headers);
-                if !answer.head.status.is_server_error() {
-                    self.ran(call);
-                    self.learn_work(call, choice, answer, took);
+            Outcome::Answered(response) => {
+                self.record_load(service, upstream, &response.head.headers);
+                if !response.head.status.is_server_error() {
+                    self.record_completed(call);
+                    self.record_work(call, choice, response, elapsed);
                     return;
                 }
-                call.line("upstream_error")
+                call.log_line("upstream_error")
                     .field("upstream", upstream.id())
-                    .field("status", answer.head.status.as_u16())
+                    .field("status", response.head.status.as_u16())
                     .log();
             }
             Outcome::NotRun(status, headers) => {
-                self.take_load(service, upstream, headers);
-                call.line("not_run_by_upstream")
+                self.record_load(service, upstream, headers);
+                call.log_line("not_run_by_upstream")
                     .field("upstream", upstream.id())
                     .field("status", status.as_u16())
                     .log();
                 if *status == StatusCode::MISDIRECTED_REQUEST {
-                    // Another upstream has the address: this one is gone, listed or not.
-                    self.has_ended(upstream);
+                    // The address belongs to another upstream: this one is gone, listed or not.
+                    self.record_upstream_ended(upstream);
                     self.conns.close(upstream);
                     if let Some(pool) = self.state.borrow_mut().pools.get_mut(service) {
                         pool.remove(upstream);
@@ -137,37 +144,43 @@
             }
             Outcome::NotSent => {}
             Outcome::Lost(why) => {
-                call.line("answer_lost")
+                call.log_line("answer_lost")
                     .field("upstream", upstream.id())
                     .field("reason", why)
-                    .field("took_ms", as_ms(took))
+                    .field("took_ms", as_ms(elapsed))
                     .log();
             }
         }
     }
 
-    /// Takes what an answer tells of the work that requests of its kind are, and of their size.
-    fn learn_work(&self, call: &Call<'_>, choice: &Choice, answer: &Answer, took: Duration) {
+    /// Records the work and the size of a request, as estimates for others of its route.
+    fn record_work(
+        &self,
+        call: &Call<'_>,
+        choice: &Choice,
+        response: &Response,
+        elapsed: Duration,
+    ) {
         let now = Instant::now();
         let state = &mut *self.state.borrow_mut();
-        state.works.record_size(&call.route.name, call.body_start.len() + answer.known_bytes());
-        if !choice.unhindered {
+        state.works.record_size(&call.route.name, call.body_start.len() + response.known_bytes());
+        if !choice.latency_measures_work {
             return;
         }
         let Some(pool) = state.pools.get_mut(&call.service) else { return };
-        let still_unhindered = pool
+        let still_at_usual_speed = pool
             .position(&choice.upstream)
             .and_then(|index| pool.upstreams()[index].report(now))
             .is_some_and(|(load, _)| load.is_at_usual_speed());
-        if still_unhindered {
-            let ratio = took.as_secs_f64() / choice.predicted.as_secs_f64().max(0.001);
+        if still_at_usual_speed {
+            let ratio = elapsed.as_secs_f64() / choice.predicted_latency.as_secs_f64().max(0.001);
             pool.record_latency_ratio(&choice.upstream, ratio, now);
-            state.works.record_work(&call.route.name, call.route.objective, took);
+            state.works.record_work(&call.route.name, call.route.objective, elapsed);
         }
     }
 }
 
-/// Returns the headers of a request as the upstream gets them.
+/// Returns the headers that are sent to the upstream.
 fn upstream_headers(
     call: &Call<'_>,
     choice: &Choice,
@@ -176,7 +189,7 @@
 ) -> HeaderMap {
     let mut headers = call.head.headers.clone();
     web::strip_connection_headers(&mut headers);
-    let left_ms = call.left().saturating_sub(DEADLINE_MARGIN).as_millis().max(1) as u64;
+    let left_ms = call.deadline_left().saturating_sub(DEADLINE_MARGIN).as_millis().max(1) as u64;
     headers.insert(&names.deadline_ms, HeaderValue::from(left_ms));
     headers.insert(&names.request_id, call.request_id.clone());
     match HeaderValue::from_str(&choice.upstream.id) {
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -36,7 +36,7 @@
     let socket = Rc::new(socket);
     monoio::spawn(read(socket.clone(), tx.clone()));
     monoio::spawn(tick(tx.clone()));
-    node.tells_by(tx);
+    node.set_gossip_sender(tx);
     let mut members = {
         let settings = &node.state.borrow().settings;
         let mut members = member::Members::new(
@@ -63,8 +63,8 @@
         out.extend(handle(&mut members, input, now));
         for event in members.take_events() {
             match event {
-                member::Event::Finding(finding) => node.hear_finding(&finding, "a peer"),
-                member::Event::Notice(notice) => node.hear_peer_notice(&notice),
+                member::Event::Finding(finding) => node.merge_finding(&finding, "a peer"),
+                member::Event::Notice(notice) => node.apply_peer_notice(&notice),
                 member::Event::DigestMismatch { addr, held_digest } => {
                     let known = node.state.borrow().quarantine.findings_for_peer(held_digest);
                     out.extend(members.send_findings(addr, known, now));
--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -110,7 +110,7 @@
     fn take(&mut self, node: &Node, batch: Batch) {
         self.cursor = self.cursor.max(batch.cursor);
         for kept in batch.kept {
-            node.hear_finding(&kept.hold.finding, "the platform");
+            node.merge_finding(&kept.hold.finding, "the platform");
             if kept.hold.why.is_some() {
                 let word = (kept.hold.clone(), Instant::now());
                 self.words.insert(kept.hold.finding.content, word);
--- a/crates/edge/src/probe.rs
+++ b/crates/edge/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks upstreams for their load just before a request is placed.
+//! Probes upstreams for their load just before an upstream is chosen for a request.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,47 +13,49 @@
 use crate::conns::Conn;
 use crate::forward::{Node, CONNECT_TIMEOUT};
 
-/// Longest time a request waits for reports, as a part of its objective.
-const WAIT_PART: f64 = 0.08;
+/// Longest time that a request waits for load reports, as a ratio of its latency objective.
+const MAX_REPORT_WAIT_RATIO: f64 = 0.08;
 
-/// The same, at most.
-const WAIT_MOST: Duration = Duration::from_millis(25);
+/// Upper bound of that time.
+const MAX_REPORT_WAIT: Duration = Duration::from_millis(25);
 
-/// A probe is given up after this long; its connection is then closed, as an
-/// upstream that does not answer in a hundred times the usual has gone silent.
+/// Timeout of a probe, after which its connection and the idle ones to the upstream are closed. An
+/// upstream that has not responded after a hundred times the usual latency has gone silent.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest time for a question that makes sure of a connection: upstreams that report their load
-/// answer within 2 ms across zones.
+/// Timeout of a probe that verifies an idle connection: upstreams that report their load respond
+/// within 2 ms across zones.
 const VERIFY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Probes saved up while none are needed, per upstream of the service.
-const SAVED_MOST: f64 = 2.0;
+/// Unused probes that a budget keeps, per upstream of the service.
+const MAX_SAVED_PROBES_PER_UPSTREAM: f64 = 2.0;
 
-/// What is left of a node's part of the probes that a service may get.
+/// A node's share of the probes that a service may get, as a token bucket.
 ///
-/// The load pattern: at a burst every request finds the reports too old and
-/// asks; at small upstreams the questions would then take the place of work.
+/// In a burst every request finds the load reports outdated and probes; at small upstreams the
+/// probes would then displace work.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Budget {
-    saved: f64,
-    at: Option<Instant>,
+    tokens: f64,
+    refilled_at: Option<Instant>,
 }
 
 impl Budget {
-    /// Takes up to `wanted` probes out of the budget of `per_s`, of which `most` can be saved.
-    pub fn take(&mut self, wanted: usize, per_s: f64, most: f64, now: Instant) -> usize {
-        let passed = self.at.map_or(f64::MAX, |at| (now - at).as_secs_f64());
-        self.at = Some(now);
-        self.saved = (self.saved + passed * per_s).min(most);
-        let taken = wanted.min(self.saved as usize);
-        self.saved -= taken as f64;
+    /// Takes up to `wanted` probes and returns how many were granted. The budget refills at
+    /// `refill_per_s` and holds at most `capacity` probes; it starts full.
+    pub fn take(&mut self, wanted: usize, refill_per_s: f64, capacity: f64, now: Instant) -> usize {
+        let passed = self.refilled_at.map_or(f64::MAX, |at| (now - at).as_secs_f64());
+        self.refilled_at = Some(now);
+        self.tokens = (self.tokens + passed * refill_per_s).min(capacity);
+        let taken = wanted.min(self.tokens as usize);
+        self.tokens -= taken as f64;
         taken
     }
 }
 
-/// Asks the upstreams `ids` of `service` for their load, and waits a little for the answers.
-pub async fn ask(
+/// Probes `upstreams` of `service` for their load, and waits for the responses for a small part of
+/// `objective`. Probes that are still outstanding then go on in the background.
+pub async fn probe_all(
     node: &Rc<Node>,
     service: &ServiceName,
     upstreams: Vec<Incarnation>,
@@ -62,12 +64,13 @@
     if upstreams.is_empty() {
         return;
     }
-    let wait = objective.mul_f64(WAIT_PART).min(WAIT_MOST);
-    let (done, mut answers) = local_sync::mpsc::unbounded::channel::<()>();
+    let max_wait = objective.mul_f64(MAX_REPORT_WAIT_RATIO).min(MAX_REPORT_WAIT);
+    let (done, mut finished) = local_sync::mpsc::unbounded::channel::<()>();
     for upstream in upstreams {
         let (node, service, done) = (node.clone(), service.clone(), done.clone());
         monoio::spawn(async move {
-            let probing = monoio::time::timeout(PROBE_TIMEOUT, probe(&node, &service, &upstream));
+            let probing =
+                monoio::time::timeout(PROBE_TIMEOUT, probe_one(&node, &service, &upstream));
             if probing.await.is_err() {
                 node.conns.close(&upstream);
             }
@@ -76,10 +79,10 @@
     }
     drop(done);
     // Ends when every probe has dropped its sender.
-    let _ = monoio::time::timeout(wait, answers.recv()).await;
+    let _ = monoio::time::timeout(max_wait, finished.recv()).await;
 }
 
-/// Where an upstream is asked.
+/// Address and path of a probe.
 struct Target {
     addr: SocketAddr,
     path: SmolStr,
@@ -95,13 +98,13 @@
     }
 }
 
-/// Sends one probe and takes what the answer says of the upstream's load.
-async fn probe(node: &Rc<Node>, service: &ServiceName, upstream: &Incarnation) {
+/// Sends one probe and records the load that the response reports.
+async fn probe_one(node: &Rc<Node>, service: &ServiceName, upstream: &Incarnation) {
     let Some(target) = Target::of(node, service, upstream) else { return };
     let conn = match node.connection(upstream, target.addr, CONNECT_TIMEOUT).await {
         Ok(conn) => conn,
         Err(err) => {
-            node.unconnected(upstream, &err);
+            node.record_connect_failure(upstream, &err);
             trace::Line::new("probe_connect_failed")
                 .field("upstream", upstream.id())
                 .field("error", err.to_string())
@@ -112,20 +115,20 @@
             return;
         }
     };
-    let kept = conn.used;
-    match trade(node, service, upstream, &target, conn).await {
+    let was_reused = conn.used;
+    match send_probe(node, service, upstream, &target, conn).await {
         Some(conn) => node.conns.put(upstream, conn),
-        // The one used last is gone: those that rested longer are gone too.
-        None if kept => node.conns.close(upstream),
+        // The most recently used connection is gone: those that were idle for longer are gone too.
+        None if was_reused => node.conns.close(upstream),
         None => {}
     }
 }
 
-/// Makes sure that the upstream still knows a connection that rested: returns it after a question
-/// was answered on it, `None` when it is of no use any more.
+/// Verifies by a probe that the upstream still holds an idle connection open. Returns the connection,
+/// or `None` when it is unusable.
 ///
-/// An upstream that forgets an idle connection resets what is sent next on it, and whether a
-/// request was run cannot be told from a reset. A lost question harms nobody.
+/// An upstream that has dropped its state of an idle connection resets it at the next request, and a
+/// reset does not tell whether that request was run. A lost probe does no harm.
 pub async fn verify(
     node: &Node,
     service: &ServiceName,
@@ -133,13 +136,14 @@
     conn: Conn,
 ) -> Option<Conn> {
     let target = Target::of(node, service, upstream)?;
-    let asking =
-        monoio::time::timeout(VERIFY_TIMEOUT, trade(node, service, upstream, &target, conn));
-    asking.await.ok().flatten()
+    let probing =
+        monoio::time::timeout(VERIFY_TIMEOUT, send_probe(node, service, upstream, &target, conn));
+    probing.await.ok().flatten()
 }
 
-/// Asks over `conn`; returns it if it can be used again.
-async fn trade(
+/// Sends a probe over `conn` and records what the response reports; returns the connection if it can
+/// be reused.
+async fn send_probe(
     node: &Node,
     service: &ServiceName,
     upstream: &Incarnation,
@@ -148,25 +152,27 @@
 ) -> Option<Conn> {
     node.state.borrow_mut().counters.probes += 1;
     let mut headers = HeaderMap::new();
-    let host = http::HeaderValue::try_from(target.addr.to_string()).expect("an address is a value");
+    let host = http::HeaderValue::try_from(target.addr.to_string())
+        .expect("a socket address is a valid header value");
     headers.insert(http::header::HOST, host);
     let request = h1::write_request(&Method::GET, &target.path, &headers);
     conn.writer.write(request).await.ok()?;
     let head = conn.reader.response_head(&Method::GET).await.ok()?;
     let mut decoder = h1::Decoder::new(head.framing);
-    node.hear_notice(upstream, head.status, &head.headers, None);
+    node.apply_signals(upstream, head.status, &head.headers, None);
     while conn.reader.body_piece(&mut decoder).await.ok()?.is_some() {}
-    node.take_load(service, upstream, &head.headers);
-    node.take_cold(service, upstream, &head.headers);
+    node.record_load(service, upstream, &head.headers);
+    node.record_cold_time(service, upstream, &head.headers);
     let reusable = head.keep_alive && !conn.reader.has_buffered();
-    conn.answered(&head.headers);
+    conn.record_response(&head.headers);
     reusable.then_some(conn)
 }
 
-/// Returns the probes per second that a node may send to a service, and how many it may save.
-pub fn allowance(node: &Node, service: &str) -> (f64, f64) {
+/// Returns how many probes per second a node may send to a service, and how many unused ones it may
+/// keep.
+pub fn budget_limits(node: &Node, service: &str) -> (f64, f64) {
     let state = node.state.borrow();
     let upstreams = state.pools.get(service).map_or(0, place::Pool::in_service_count) as f64;
-    let per_s = state.settings.probes_per_upstream_s * upstreams / state.fleet_size() as f64;
-    (per_s, upstreams * SAVED_MOST)
+    let refill_per_s = state.settings.probes_per_upstream_s * upstreams / state.fleet_size() as f64;
+    (refill_per_s, upstreams * MAX_SAVED_PROBES_PER_UPSTREAM)
 }
--- a/crates/edge/src/serve/answer.rs
+++ b/crates/edge/src/serve/answer.rs
@@ -11,7 +11,7 @@
 
 use super::pipeline::{Answering, Pipeline, Turn};
 use super::End;
-use crate::exchange::{Answer, AnswerBody};
+use crate::exchange::{Response, ResponseBody};
 use crate::forward::{Node, Reply};
 use crate::reply::Own;
 
@@ -82,18 +82,18 @@
 /// Writes an upstream's answer; false when the caller is gone or the answer is cut off.
 async fn write_answer(
     writer: &mut h1::Writer,
-    answer: Answer,
+    answer: Response,
     bodyless: bool,
     close: bool,
 ) -> bool {
-    let Answer { head, body } = answer;
+    let Response { head, body } = answer;
     let stated_length = head.headers.get(CONTENT_LENGTH).cloned();
     let mut headers = head.headers;
     web::strip_connection_headers(&mut headers);
     set_close(&mut headers, close);
     let lengthless = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     match body {
-        AnswerBody::Whole(body) => {
+        ResponseBody::Full(body) => {
             let length = match stated_length {
                 Some(stated) if bodyless => Some(stated),
                 _ if lengthless => None,
@@ -106,7 +106,7 @@
             bytes.extend_from_slice(&body);
             writer.write(bytes).await.is_ok()
         }
-        AnswerBody::Begun(first, decoder, conn) => {
+        ResponseBody::Partial(first, decoder, conn) => {
             let chunked = !matches!(head.framing, h1::Framing::Length(_));
             match head.framing {
                 h1::Framing::Length(length) => {
--- a/crates/edge/src/serve/pipeline.rs
+++ b/crates/edge/src/serve/pipeline.rs
@@ -168,7 +168,7 @@
     monoio::spawn(async move {
         let Request { head, body, arrived, repeatable, in_flight } = request;
         let caller = Caller::waiting_since(arrived);
-        let left = caller.left.clone();
+        let left = caller.has_left.clone();
         let mut forwarding = pin!(node.forward(&head, Body::Whole(body), caller));
         let reply = monoio::select! {
             reply = &mut forwarding => Some(reply),
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -351,9 +351,9 @@
         let mut caller = Caller::connect(entered.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "1")).await.status, 502);
         let knows_any = || !entered.node.state.borrow().quarantine.is_empty();
-        entered.node.unconnected(&up("u0"), &io::ErrorKind::TimedOut.into());
+        entered.node.record_connect_failure(&up("u0"), &io::ErrorKind::TimedOut.into());
         assert!(!knows_any());
-        entered.node.unconnected(&up("u0"), &io::ErrorKind::ConnectionRefused.into());
+        entered.node.record_connect_failure(&up("u0"), &io::ErrorKind::ConnectionRefused.into());
         assert!(knows_any());
     });
 }
@@ -481,7 +481,7 @@
             other.record_crash(content, known, Start::of("u", n), crate::unix_ms());
         }
         let finding = other.quarantined().next().expect("it is held back").clone();
-        node.hear_finding(&finding, "a peer");
+        node.merge_finding(&finding, "a peer");
         let heard_at = Instant::now();
         let got = caller.read().await.expect("an answer");
         assert_eq!((got.status, cluster.seen.borrow().arrivals.len()), (503, 0));
--- a/crates/edge/src/tests/idle.rs
+++ b/crates/edge/src/tests/idle.rs
@@ -32,7 +32,7 @@
         let entered = with_rested_connection(&upstream).await;
         let (service, id) = ("desk".into(), up("u0"));
         let node = &entered.node;
-        let conn = node.sure_connection(&service, &id, upstream.addr, ms(200)).await;
+        let conn = node.verified_connection(&service, &id, upstream.addr, ms(200)).await;
         assert!(!conn.expect("connects").used, "the rested connection was trusted");
         assert_eq!(upstream.connections.get(), 2);
         let seen = upstream.seen.borrow();
@@ -47,7 +47,7 @@
         let entered = with_rested_connection(&upstream).await;
         let (service, id) = ("desk".into(), up("u0"));
         let node = &entered.node;
-        let conn = node.sure_connection(&service, &id, upstream.addr, ms(200)).await;
+        let conn = node.verified_connection(&service, &id, upstream.addr, ms(200)).await;
         assert!(conn.expect("connects").used);
         assert_eq!((upstream.connections.get(), upstream.runs()), (1, 2));
     });
@@ -68,9 +68,9 @@
         node.conns.put(&id, more);
         node.conns.put(&id, rested);
         monoio::time::sleep(ms(150)).await;
-        let conn = node.sure_connection(&service, &id, upstream.addr, ms(200)).await;
+        let conn = node.verified_connection(&service, &id, upstream.addr, ms(200)).await;
         conn.expect("connects");
         assert_eq!(upstream.connections.get(), 3, "an older connection was used");
-        assert!(!node.conns.has(&id));
+        assert!(!node.conns.has_idle(&id));
     });
 }
--- a/crates/edge/src/tests/leaving.rs
+++ b/crates/edge/src/tests/leaving.rs
@@ -151,7 +151,7 @@
         let start = crate::start_of(&up("u0"));
         let now = Instant::now();
         entered.node.state.borrow_mut().ends.record_lost_response(start, lost, now);
-        entered.node.has_ended(&up("u0"));
+        entered.node.record_upstream_ended(&up("u0"));
         assert!(entered.node.state.borrow().quarantine.findings().is_empty());
     });
 }
--- a/crates/edge/src/tests/restarts.rs
+++ b/crates/edge/src/tests/restarts.rs
@@ -28,10 +28,10 @@
         let mut caller = Caller::connect(entered.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "1")).await.status, 200);
         let later = restart(&entered, upstream.addr);
-        assert!(!entered.node.conns.has(&up("u0")) && !entered.node.conns.has(&later));
+        assert!(!entered.node.conns.has_idle(&up("u0")) && !entered.node.conns.has_idle(&later));
         assert_eq!(caller.ask(&get("/get/1", "2")).await.status, 200);
         assert_eq!(upstream.connections.get(), 2);
-        assert!(entered.node.conns.has(&later));
+        assert!(entered.node.conns.has_idle(&later));
     });
 }
 
