--- a/crates/edge/src/forward/content/tests.rs
+++ b/crates/edge/src/forward/content/tests.rs
@@ -10,7 +10,7 @@
 const FIRST: &str = "POST /claim/7?x=1 HTTP/1.1\r\nHost: seeds.example\r\nX-Id: 1\r\nX-Deadline: 500\r\nContent-Length: 4\r\n\r\n";
 
 #[test]
-fn another_attempt_asks_the_same() {
+fn attempts_of_one_request_have_the_same_key() {
     let again = FIRST.replace("X-Id: 1", "X-Id: 2").replace("500", "320");
     assert_eq!(content(FIRST, "seed"), content(&again, "seed"));
 }
@@ -24,21 +24,20 @@
     cookie = { "X-Id: 1", "Cookie: a=1" },
     length = { "Content-Length: 4", "Content-Length: 5" },
 )]
-fn another_request_asks_something_else(part: &str, other: &str) {
+fn different_requests_have_different_keys(part: &str, other: &str) {
     let changed = FIRST.replace(part, other);
     assert_ne!(content(FIRST, "seed"), content(&changed, "seed"));
 }
 
 #[test]
-fn another_body_asks_something_else() {
+fn different_bodies_have_different_keys() {
     assert_ne!(content(FIRST, "seed"), content(FIRST, "sead"));
 }
 
-/// Symptom: a long upload that ends its upstreams is never known again.
-/// Sequence: it comes in pieces of other sizes each time.
-/// Cause: a key over as much of the body as happened to be received.
+/// Guards against a key over as much of a body as happens to have been received: a long upload that
+/// crashes upstreams arrives in pieces of different sizes each time and would not be recognized.
 #[test]
-fn how_much_of_a_long_body_was_received_does_not_matter() {
+fn the_key_does_not_depend_on_how_much_of_a_long_body_was_received() {
     let body = "x".repeat(200 * 1024);
     assert_eq!(content(FIRST, &body[..70 * 1024]), content(FIRST, &body[..90 * 1024]));
 }
--- a/crates/edge/src/tests/homes.rs
+++ b/crates/edge/src/tests/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Requests that may run in some regions only.
+//! Routes whose requests may run in some regions only.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -17,7 +17,7 @@
         .into()
 }
 
-pub fn table_with_homes(version: route::Version, homes: &[&str]) -> Table {
+pub fn table_with_regions(version: route::Version, allowed_regions: &[&str]) -> Table {
     let route = Route {
         name: "get".into(),
         prefix: "/get/".into(),
@@ -27,36 +27,36 @@
         timeout: ms(600),
         objective: ms(300),
         priority: 0,
-        allowed_regions: homes.iter().map(|home| Region::from(*home)).collect(),
+        allowed_regions: allowed_regions.iter().map(|region| Region::from(*region)).collect(),
     };
     let services: Vec<Service> = table(1, ClientLimits::default()).services.into_values().collect();
     Table::new(version, ClientLimits::default(), services, vec![("seeds.example".into(), route)])
 }
 
-/// Starts a node in zone `a` before upstreams in `a` and `b`, whose requests have these homes.
-pub fn start_with_homes(upstreams: &[&Upstream], homes: &[&str]) -> Entered {
+/// Starts a node in zone `a` in front of upstreams in `a` (region `north`) and `b` (region `south`), with
+/// a route restricted to these regions.
+pub fn start_with_regions(upstreams: &[&Upstream], allowed_regions: &[&str]) -> Entered {
     let entered = start(upstreams);
     {
         let state = &mut *entered.node.state.borrow_mut();
         state.settings.regions = [("a", "north"), ("b", "south")]
             .map(|(zone, region)| (zone.into(), region.into()))
             .into();
-        state.apply_table(table_with_homes(2, homes));
+        state.apply_table(table_with_regions(2, allowed_regions));
     }
     entered
 }
 
-/// Symptom: a request runs in a region that its operator has not allowed.
-/// Sequence: its node is in another region than its homes; the first send fails and it is sent again.
-/// Cause: choosing the nearest upstream, or any for a second send.
+/// Guards against sending a request to the nearest upstream, or a retry to any, in a region that its
+/// route does not allow. The node is outside the allowed region.
 #[test]
-fn a_request_runs_in_its_homes_only() {
+fn a_request_runs_in_its_allowed_regions_only() {
     run(async {
         let (near, far) = (
             Upstream::start(vec![vec![answer("near")]]),
             Upstream::start(vec![vec![answer("far")]]),
         );
-        let entered = start_with_homes(&[&near, &far], &["south"]);
+        let entered = start_with_regions(&[&near, &far], &["south"]);
         for id in 0..10 {
             let got =
                 Caller::connect(entered.addr).await.ask(&get("/get/1", &id.to_string())).await;
@@ -66,14 +66,13 @@
     });
 }
 
-/// Symptom: callers wait, or are told 404, while the only region allowed has no upstream.
-/// Sequence: all its upstreams are gone, or it is a region that nobody knows.
-/// Cause: going on looking where nothing can be found.
+/// Guards against callers who wait or get a 404 while the only allowed region has no upstream or is
+/// unknown.
 #[test]
-fn a_request_whose_homes_have_no_upstream_is_refused_at_once() {
+fn a_request_without_upstream_in_its_allowed_regions_is_refused_at_once() {
     run(async {
         let (one, other) = (Upstream::start(vec![]), Upstream::start(vec![]));
-        let entered = start_with_homes(&[&one, &other], &["west"]);
+        let entered = start_with_regions(&[&one, &other], &["west"]);
         let asked_at = Instant::now();
         let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "1")).await;
         assert!(asked_at.elapsed() < ms(50) && got.status == 503, "{got:?}");
@@ -82,36 +81,35 @@
     });
 }
 
-/// Symptom: bodies pass through a region that they have nothing to do with.
-/// Sequence: a caller asks which nodes to use; its own zone has one, or its region none.
-/// Cause: naming all nodes where the zone has too few.
+/// Guards against bodies that pass through an unrelated region. The directory returns nodes of the
+/// caller's zone, its region or the allowed regions, not all nodes where the zone has too few.
 #[yare::parameterized(
     its_zone = { "a", "north", &["south"], &[(1, "a"), (2, "b"), (3, "c")], &[1, 9] },
     its_region = { "b", "north", &[], &[(2, "b"), (3, "c")], &[2, 9] },
-    homes_before_others = { "d", "west", &["south"], &[(2, "b"), (3, "c"), (4, "c")], &[3, 4] },
+    allowed_before_others = { "d", "west", &["south"], &[(2, "b"), (3, "c"), (4, "c")], &[3, 4] },
     nothing_else = { "d", "west", &["east"], &[(3, "c")], &[3, 9] },
-    region_alone_and_home = { "c", "south", &["north"], &[(3, "c")], &[3, 9] },
-    region_alone_not_home = { "c", "south", &["south"], &[(3, "c")], &[3] },
+    region_alone_and_allowed = { "c", "south", &["north"], &[(3, "c")], &[3, 9] },
+    region_alone_not_allowed = { "c", "south", &["south"], &[(3, "c")], &[3] },
 )]
-fn callers_are_sent_to_their_region_or_their_homes(
+fn callers_are_sent_to_their_region_or_an_allowed_one(
     zone: &str,
     region: &str,
-    homes: &[&str],
+    allowed_regions: &[&str],
     peers: &[(u8, &str)],
     expected: &[u8],
 ) {
     let mut state = state_at(addr(9), &[]);
     state.settings.front_addr = addr(9);
     state.settings.regions = regions();
-    state.apply_table(table_with_homes(8, homes));
+    state.apply_table(table_with_regions(8, allowed_regions));
     for (n, zone) in peers {
         let mut peer = serving(zone);
         peer.standing = Standing::Alive;
         state.peers.insert(addr(*n), peer);
     }
     let asker = Asker { zone, region, host: "Seeds.example" };
-    let mut named = addresses(&mut state, asker);
-    named.sort_unstable();
+    let mut returned = addresses(&mut state, asker);
+    returned.sort_unstable();
     let expected: Vec<_> = expected.iter().map(|n| addr(*n)).collect();
-    assert_eq!(named, expected);
+    assert_eq!(returned, expected);
 }
--- a/crates/edge/src/tests/budgets.rs
+++ b/crates/edge/src/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of probes and of second sends.
+//! Budgets of probes and of second sends (retries and hedges).
 
 use std::time::{Duration, Instant};
 
@@ -9,8 +9,8 @@
 use crate::probe::Budget;
 use crate::state::{Peer, State};
 
-/// A node that knows `others` serving nodes, by a budget with this slack.
-fn node_that_knows(others: u16, slack: f64) -> State {
+/// Returns the state of a node that knows `others` serving nodes, with this slack in the retry budget.
+fn node_with_peers(others: u16, slack: f64) -> State {
     let mut settings = settings();
     settings.retry_slack = slack;
     let mut state = State::new(settings);
@@ -30,53 +30,50 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: upstreams spend their time on being asked how they are.
-    /// Sequence: requests come in any rhythm, and each finds the reports too old.
-    /// Cause: a question per request without a bound.
+    /// Guards against unbounded probes that displace work at upstreams: requests come at any rate, and
+    /// each finds the load reports outdated.
     #[test]
     fn probes_stay_within_their_rate(
-        asks in prop::collection::vec((0u64..200, 0usize..4), 1..300),
-        per_s in 0.0f64..200.0,
-        most in 1.0f64..20.0,
+        requests in prop::collection::vec((0u64..200, 0usize..4), 1..300),
+        refill_per_s in 0.0f64..200.0,
+        capacity in 1.0f64..20.0,
     ) {
         let began = Instant::now();
         let (mut now, mut taken) = (began, 0);
         let mut budget = Budget::default();
-        for (passed_ms, wanted) in asks {
+        for (passed_ms, wanted) in requests {
             now += Duration::from_millis(passed_ms);
-            taken += budget.take(wanted, per_s, most, now);
-            let allowed = most + per_s * (now - began).as_secs_f64();
+            taken += budget.take(wanted, refill_per_s, capacity, now);
+            let allowed = capacity + refill_per_s * (now - began).as_secs_f64();
             prop_assert!(taken as f64 <= allowed + 0.001, "{taken} of {allowed}");
         }
     }
 
-    /// Symptom: after a crash, upstreams get a second wave of the same requests and stay full.
-    /// Sequence: every request fails at first and asks for a second send, on every node at once.
-    /// Cause: budgets of single nodes that add up to more than the fleet's.
+    /// Guards against retry storms after a crash: every request fails at first and is retried, on all
+    /// nodes at once. The budgets of the nodes must not add up to more than that of the fleet.
     #[test]
     fn second_sends_of_a_fleet_stay_within_its_budget(
         nodes in 1usize..40,
         requests in 1usize..400,
     ) {
         let service = "desk".into();
-        let node = || node_that_knows(nodes as u16 - 1, settings().retry_slack);
+        let node = || node_with_peers(nodes as u16 - 1, settings().retry_slack);
         let mut fleet: Vec<State> = (0..nodes).map(|_| node()).collect();
-        let mut second = 0;
+        let mut second_sends = 0;
         for number in 0..requests {
             let state = &mut fleet[number % nodes];
             state.first_send(&service);
-            second += usize::from(state.second_send(&service));
+            second_sends += usize::from(state.second_send(&service));
         }
         let settings = settings();
         let allowed = settings.retry_ratio * requests as f64 + settings.retry_slack;
-        prop_assert!(second as f64 <= allowed, "{second} of {allowed}");
+        prop_assert!(second_sends as f64 <= allowed, "{second_sends} of {allowed}");
     }
 
-    /// Symptom: as above, on days on which nodes are stopped, killed and started all the time.
-    /// Sequence: requests come to any node, some of which fail as often as they are sent; nodes are
-    /// restarted, and know three others at first.
-    /// Cause: what each process begins with, and a share of the slack worked from the few nodes that
-    /// it knows. The slack is two a node, as where it is stated.
+    /// As above, with nodes that restart often. A new process must not begin with a saved budget, nor
+    /// take a share of the slack that is computed from the three nodes that it knows at first. Requests
+    /// reach any node and fail as often as they are sent. The slack is two sends per
+    /// node, as where it is specified.
     #[test]
     fn second_sends_stay_within_the_budget_when_nodes_are_restarted(
         events in prop::collection::vec((0usize..12, 0u8..40, 0u64..400), 1..400),
@@ -84,12 +81,12 @@
         let service: route::ServiceName = "desk".into();
         let (nodes, window_ms) = (12, 10_000);
         let slack = 2.0 * nodes as f64;
-        let mut fleet: Vec<State> = (0..nodes).map(|_| node_that_knows(11, slack)).collect();
+        let mut fleet: Vec<State> = (0..nodes).map(|_| node_with_peers(11, slack)).collect();
         let (mut now_ms, mut first_ms, mut second_ms) = (0, Vec::new(), Vec::new());
         for (node, what, passed_ms) in events {
             now_ms += passed_ms;
             if what == 0 {
-                fleet[node] = node_that_knows(3, slack);
+                fleet[node] = node_with_peers(3, slack);
                 continue;
             }
             fleet[node].first_send(&service);
@@ -101,7 +98,7 @@
         let within = |sends: &[u64], from: u64| {
             sends.iter().filter(|at| (from..from + window_ms).contains(*at)).count() as f64
         };
-        let settings = node_that_knows(0, slack).settings;
+        let settings = node_with_peers(0, slack).settings;
         for from in (0..=now_ms).step_by(500) {
             let allowed = settings.retry_ratio * within(&first_ms, from) + settings.retry_slack;
             prop_assert!(within(&second_ms, from) <= allowed);
@@ -109,11 +106,9 @@
     }
 }
 
-/// Symptom: while every upstream refuses half of its requests, requests are lost that a second send
-/// would have saved.
-/// Sequence: the budget has nothing left for a request that was refused; another one is overdue; a
-/// second send is earned.
-/// Cause: spending it on the overdue one, whose first send is still under way.
+/// Guards against hedges that use up the budget needed by refused requests. A refused request finds
+/// the budget empty while another one is overdue; the next second send that is earned must not go to
+/// the overdue one, whose first send is still in flight.
 #[test]
 fn hedges_yield_to_requests_that_were_refused() {
     let service = "desk".into();
--- a/crates/edge/src/tests/callers.rs
+++ b/crates/edge/src/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Entry nodes that know each other, with a busy caller each.
+//! Entry nodes that know each other, each with a caller that sends requests in a loop.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,10 +6,10 @@
 use super::fake::{ms, start, Caller, Entered, Upstream};
 use super::fleet::{addr, serving};
 
-/// Entry nodes in front of the same upstreams.
+/// Number of entry nodes in front of the same upstreams.
 const NODES: u8 = 8;
 
-/// Starts nodes that know each other and have been up for a while.
+/// Starts nodes that know each other and appear to have been up for a minute.
 pub fn nodes(upstreams: &[&Upstream]) -> Vec<Entered> {
     let all: Vec<SocketAddr> = (1..=NODES).map(addr).collect();
     let entered = all.iter().map(|me| {
@@ -24,8 +24,12 @@
     entered.collect()
 }
 
-/// Has a caller of each node make requests one after the other; returns how many were served.
-pub async fn ask_all(nodes: &[Entered], request: fn(&str) -> String, until: Instant) -> usize {
+/// Sends requests to each node one after the other until `until`; returns how many were served.
+pub async fn send_requests(
+    nodes: &[Entered],
+    request: fn(&str) -> String,
+    until: Instant,
+) -> usize {
     let callers = nodes.iter().map(|entered| {
         let addr = entered.addr;
         monoio::spawn(async move {
--- a/crates/edge/src/tests/crashing.rs
+++ b/crates/edge/src/tests/crash_cluster.rs
@@ -1,4 +1,5 @@
-//! Entry nodes that know each other, before upstreams that crash under one request.
+//! A cluster of entry nodes that are members of one fleet, with upstreams that crash when they run
+//! a certain request.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,23 +22,23 @@
 use crate::state::{self, State};
 use crate::{follow, gossip, holds, serve};
 
-/// Slots of each upstream: so many requests a crash can take with it.
+/// Slots of each upstream, which is also how many requests one crash can take with it.
 pub const SLOTS: usize = 4;
 
-/// How long an upstream works on the crashing request before it crashes, and on others.
-const CRASHES_AFTER: Duration = Duration::from_millis(60);
-const WORKS_FOR: Duration = Duration::from_millis(25);
+/// Time that an upstream works on the crashing request before it crashes, and on other requests.
+const CRASH_DELAY: Duration = Duration::from_millis(60);
+const SERVICE_TIME: Duration = Duration::from_millis(25);
 
-/// The same for paths that end in `long`.
-const WORKS_LONG_FOR: Duration = Duration::from_millis(200);
+/// Service time of requests whose path contains `long`.
+const LONG_SERVICE_TIME: Duration = Duration::from_millis(200);
 
-/// Time after which a crashed upstream is back at its address, under another id.
-const BACK_AFTER: Duration = Duration::from_millis(300);
+/// Time after which an ended upstream is back at its address, under a new id.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Time that a caller gives one attempt, and what it states.
+/// Time that a caller allows for a request including its retry; each attempt states what is left.
 const DEADLINE: Duration = Duration::from_millis(500);
 
-/// What the upstreams of a cluster saw.
+/// What the upstreams of a cluster observed.
 #[derive(Default)]
 pub struct Seen {
     /// When each crash happened.
@@ -48,22 +49,22 @@
     pub ran: Vec<(String, String)>,
 }
 
-/// One start of an upstream. Dropping what ends it closes its listener and its connections.
-struct Life {
+/// One run of an upstream. Dropping its senders ends its listener and its connections.
+struct Instance {
     id: String,
-    ends: RefCell<Vec<oneshot::Sender<()>>>,
+    end_senders: RefCell<Vec<oneshot::Sender<()>>>,
     running: Cell<u32>,
 }
 
-impl Life {
-    fn until_end(&self) -> oneshot::Receiver<()> {
-        let (ends, ended) = oneshot::channel();
-        self.ends.borrow_mut().push(ends);
+impl Instance {
+    fn end_signal(&self) -> oneshot::Receiver<()> {
+        let (end_sender, ended) = oneshot::channel();
+        self.end_senders.borrow_mut().push(end_sender);
         ended
     }
 
     fn end(&self) {
-        self.ends.borrow_mut().clear();
+        self.end_senders.borrow_mut().clear();
     }
 }
 
@@ -72,28 +73,28 @@
     pub nodes: Vec<Rc<Node>>,
     pub fronts: Vec<SocketAddr>,
     pub seen: RefCell<Seen>,
-    /// Part of the path of requests that crash whichever upstream runs them.
-    crashing: &'static str,
+    /// Requests whose target contains this crash the upstream that runs them.
+    crash_marker: &'static str,
     started: Cell<u32>,
-    lives: RefCell<Vec<Rc<Life>>>,
-    /// Where its nodes reach each other: the third number of their addresses, and their port.
-    net: Net,
+    instances: RefCell<Vec<Rc<Instance>>>,
+    /// Where its nodes reach each other.
+    network: Network,
 }
 
-/// Where the nodes of a cluster reach each other.
+/// Addresses of the nodes of a cluster: the third octet, and their port.
 #[derive(Clone, Copy)]
-struct Net {
+struct Network {
     number: u8,
     port: u16,
 }
 
-impl Net {
-    /// Addresses of the cluster with this number, at a port that nobody uses: the same tests may run
-    /// twice beside each other.
-    fn new(number: u8) -> Net {
+impl Network {
+    /// Returns the addresses of the cluster with this number, at a free port: two runs of the same
+    /// tests may be active at once.
+    fn new(number: u8) -> Network {
         let first =
             std::net::UdpSocket::bind((Ipv4Addr::new(127, 0, number, 1), 0)).expect("binds");
-        Net { number, port: first.local_addr().expect("bound").port() }
+        Network { number, port: first.local_addr().expect("bound").port() }
     }
 
     fn addr(self, node: u8) -> SocketAddr {
@@ -102,26 +103,33 @@
 }
 
 impl Cluster {
-    /// Starts `nodes` nodes on addresses 127.0.`net`.1 and on, before `upstreams` upstreams.
-    pub fn start(net: u8, nodes: u8, upstreams: usize, crashing: &'static str) -> Rc<Cluster> {
-        let net = Net::new(net);
-        let started = (0..nodes).map(|n| start_node(net.addr(n), net.addr(0)));
+    /// Starts `nodes` nodes on addresses from 127.0.`network`.1 in front of `upstreams` upstreams.
+    pub fn start(
+        network: u8,
+        nodes: u8,
+        upstreams: usize,
+        crash_marker: &'static str,
+    ) -> Rc<Cluster> {
+        let network = Network::new(network);
+        let started = (0..nodes).map(|n| start_node(network.addr(n), network.addr(0)));
         let (nodes, fronts) = started.unzip();
-        let (seen, started, lives) = Default::default();
-        let cluster = Rc::new(Cluster { nodes, fronts, seen, crashing, started, lives, net });
+        let (seen, started, instances) = Default::default();
+        let cluster =
+            Rc::new(Cluster { nodes, fronts, seen, crash_marker, started, instances, network });
         for _ in 0..upstreams {
             cluster.start_upstream("127.0.0.1:0".parse().expect("an address"));
         }
         cluster
     }
 
-    /// Starts an upstream at `addr` and has all nodes know of it.
+    /// Starts an upstream at `addr` and adds it to the lists of all nodes.
     fn start_upstream(self: &Rc<Cluster>, addr: SocketAddr) {
         let listener = TcpListener::bind(addr).expect("binds");
         let addr = listener.local_addr().expect("bound");
         self.started.set(self.started.get() + 1);
         let id = format!("u{}", self.started.get());
-        let life = Life { id: id.clone(), ends: RefCell::default(), running: Cell::new(0) };
+        let instance =
+            Instance { id: id.clone(), end_senders: RefCell::default(), running: Cell::new(0) };
         let entry = Entry {
             id: id.into(),
             born_ms: super::fake::BORN_MS,
@@ -132,27 +140,27 @@
             leaving: false,
             cold_for: Duration::ZERO,
         };
-        self.tell(Event::Put(entry));
-        let (cluster, life) = (self.clone(), Rc::new(life));
-        self.lives.borrow_mut().push(life.clone());
+        self.update_lists(Event::Put(entry));
+        let (cluster, instance) = (self.clone(), Rc::new(instance));
+        self.instances.borrow_mut().push(instance.clone());
         monoio::spawn(async move {
-            cluster.live(listener, &life).await;
-            cluster.lives.borrow_mut().retain(|other| !Rc::ptr_eq(other, &life));
-            monoio::time::sleep(BACK_AFTER).await;
-            cluster.tell(Event::Gone(life.id.as_str().into()));
+            cluster.serve_until_end(listener, &instance).await;
+            cluster.instances.borrow_mut().retain(|other| !Rc::ptr_eq(other, &instance));
+            monoio::time::sleep(RESTART_DELAY).await;
+            cluster.update_lists(Event::Gone(instance.id.as_str().into()));
             cluster.start_upstream(addr);
         });
     }
 
-    fn tell(&self, event: Event) {
+    fn update_lists(&self, event: Event) {
         for node in &self.nodes {
             follow::apply_upstreams(node, vec![event.clone()], Instant::now());
         }
     }
 
-    /// Takes connections until the upstream crashes.
-    async fn live(self: &Rc<Cluster>, listener: TcpListener, life: &Rc<Life>) {
-        let mut ended = life.until_end();
+    /// Accepts connections until the upstream ends.
+    async fn serve_until_end(self: &Rc<Cluster>, listener: TcpListener, instance: &Rc<Instance>) {
+        let mut ended = instance.end_signal();
         loop {
             let stream = monoio::select! {
                 _ = &mut ended => return,
@@ -161,18 +169,18 @@
                     Err(_) => return,
                 },
             };
-            let (cluster, life) = (self.clone(), life.clone());
-            let mut ended = life.until_end();
+            let (cluster, instance) = (self.clone(), instance.clone());
+            let mut ended = instance.end_signal();
             monoio::spawn(async move {
                 monoio::select! {
                     _ = &mut ended => {}
-                    () = cluster.connection(stream, &life) => {}
+                    () = cluster.serve_connection(stream, &instance) => {}
                 }
             });
         }
     }
 
-    async fn connection(&self, stream: TcpStream, life: &Life) {
+    async fn serve_connection(&self, stream: TcpStream, instance: &Instance) {
         let (read, write) = stream.into_split();
         let (mut reader, mut writer) = (h1::Reader::new(read), h1::Writer::new(write));
         while let Ok(head) = reader.request_head(64 * 1024).await {
@@ -185,87 +193,89 @@
                 value.unwrap_or_default().to_owned()
             };
             let id = text("x-id");
-            if text("x-expect") != life.id {
-                let refusal = "HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n";
-                if writer.write(refusal.into()).await.is_err() {
+            if text("x-expect") != instance.id {
+                let rejection = "HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n";
+                if writer.write(rejection.into()).await.is_err() {
                     return;
                 }
                 continue;
             }
-            life.running.set(life.running.get() + 1);
-            if head.target.contains(self.crashing) {
+            instance.running.set(instance.running.get() + 1);
+            if head.target.contains(self.crash_marker) {
                 self.seen.borrow_mut().arrivals.push(Instant::now());
-                monoio::time::sleep(CRASHES_AFTER).await;
+                monoio::time::sleep(CRASH_DELAY).await;
                 self.seen.borrow_mut().crashes.push(Instant::now());
-                life.end();
+                instance.end();
                 return;
             }
-            let ran = (head.path().to_owned(), life.id.clone());
+            let ran = (head.path().to_owned(), instance.id.clone());
             self.seen.borrow_mut().ran.push(ran);
             let is_long = head.path().contains("long");
-            monoio::time::sleep(if is_long { WORKS_LONG_FOR } else { WORKS_FOR }).await;
-            life.running.set(life.running.get() - 1);
-            let answer = format!(
+            monoio::time::sleep(if is_long { LONG_SERVICE_TIME } else { SERVICE_TIME }).await;
+            instance.running.set(instance.running.get() - 1);
+            let response = format!(
                 "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 5\r\n\r\nbeans"
             );
-            if writer.write(answer.into_bytes()).await.is_err() {
+            if writer.write(response.into_bytes()).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Has so many upstreams end by themselves.
-    pub fn end_some(&self, count: usize) {
-        self.lives.borrow().iter().take(count).for_each(|life| life.end());
+    /// Ends `count` upstreams.
+    pub fn end_upstreams(&self, count: usize) {
+        self.instances.borrow().iter().take(count).for_each(|instance| instance.end());
     }
 
-    /// Has the list say of all upstreams that they leave.
-    pub fn let_all_go(&self) {
-        let ids: Vec<String> = self.lives.borrow().iter().map(|life| life.id.clone()).collect();
-        ids.iter().for_each(|id| self.tell(Event::Gone(id.as_str().into())));
+    /// Removes all upstreams from the lists of all nodes.
+    pub fn unlist_all_upstreams(&self) {
+        let ids: Vec<String> =
+            self.instances.borrow().iter().map(|instance| instance.id.clone()).collect();
+        ids.iter().for_each(|id| self.update_lists(Event::Gone(id.as_str().into())));
     }
 
-    /// Starts one more node, which knows of no upstreams.
-    pub fn join_another(&self) -> Rc<Node> {
+    /// Starts one more node, whose list of upstreams is empty.
+    pub fn start_another_node(&self) -> Rc<Node> {
         let number = self.nodes.len() as u8;
-        start_node(self.net.addr(number), self.net.addr(0)).0
+        start_node(self.network.addr(number), self.network.addr(0)).0
     }
 
-    /// Returns true when each node holds back so many requests.
-    pub fn all_hold_back(&self, count: usize) -> bool {
-        let held = |node: &Rc<Node>| node.state.borrow().quarantine.quarantined().count();
-        self.nodes.iter().all(|node| held(node) == count)
+    /// Returns true when each node has quarantined exactly `count` requests.
+    pub fn all_nodes_quarantine(&self, count: usize) -> bool {
+        let quarantined_count =
+            |node: &Rc<Node>| node.state.borrow().quarantine.quarantined().count();
+        self.nodes.iter().all(|node| quarantined_count(node) == count)
     }
 
-    /// Returns what each node knows of requests that crashed upstreams.
+    /// Returns the findings of each node.
     pub fn findings(&self) -> Vec<Vec<quarantine::Finding>> {
-        let known = |node: &Rc<Node>| {
+        let findings = |node: &Rc<Node>| {
             node.state.borrow().quarantine.findings().into_iter().cloned().collect()
         };
-        self.nodes.iter().map(known).collect()
+        self.nodes.iter().map(findings).collect()
     }
 
-    /// Returns when the third crash happened, once it has.
+    /// Returns when the third crash happened, or `None` before it.
     pub fn third_crash(&self) -> Option<Instant> {
         self.seen.borrow().crashes.get(2).copied()
     }
 }
 
-/// Time after which a wait without an answer is given up.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time after the end of a long poll at which the caller gives up on a silent platform.
+const SILENT_PLATFORM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A platform that keeps findings and counts the calls.
+/// A platform that stores one finding and counts calls.
 #[derive(Clone, Default)]
 pub struct Platform {
     pub kept: Rc<RefCell<Vec<Kept>>>,
     pub calls: Rc<Cell<u32>>,
-    /// Raised, waits under way go silent for good, without a sign.
+    /// Incrementing this makes all pending long polls hang until they time out.
     pub stalls: Rc<Cell<u32>>,
     version: Rc<Cell<Cursor>>,
 }
 
 impl Platform {
-    /// Has a node keep what it finds here, as one that reads the platform itself.
+    /// Has a node store its findings here, as a node that reads the platform directly.
     pub fn serve(&self, node: &Rc<Node>) {
         {
             let state = &mut *node.state.borrow_mut();
@@ -277,13 +287,13 @@
         monoio::spawn(holds::run(self.clone(), node.clone()));
     }
 
-    /// Writes a finding, as an operator does.
+    /// Writes a finding as an operator does.
     pub fn put(&self, finding: quarantine::Finding) {
         let why = Some("fixed".to_owned());
         self.write(Hold { finding, written_by: "ana".into(), at_unix_ms: 0, why });
     }
 
-    /// Has a finding in place of what is kept.
+    /// Replaces the stored finding.
     pub fn write(&self, hold: Hold) {
         self.version.set(self.version.get() + 1);
         let kept = Kept { hold, written_at: self.version.get() };
@@ -308,7 +318,8 @@
             monoio::time::sleep(ms(10)).await;
         }
         if self.stalls.get() > stalls {
-            monoio::time::sleep((wait + PATIENCE).saturating_sub(began.elapsed())).await;
+            monoio::time::sleep((wait + SILENT_PLATFORM_TIMEOUT).saturating_sub(began.elapsed()))
+                .await;
             return Err(SourceError::Unavailable("timed out".into()));
         }
         Ok(self.batch())
@@ -328,7 +339,7 @@
     let mut settings = settings();
     settings.peer_addr = at;
     settings.seed_addrs = vec![seed];
-    // Each service may get a fifth of the first sends again, and sixty more.
+    // Retry budget: a fifth of the first sends, and sixty more.
     settings.retry_slack = 60.0;
     let mut state = State::new(settings);
     state.apply_table(table(1, ClientLimits::default()));
@@ -342,37 +353,42 @@
     (node, front)
 }
 
-/// One request as its caller saw it.
+/// Result of one request as its caller saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct CallerResult {
     /// When it was first sent.
     pub at: Instant,
-    /// Status of the last attempt; 0 when its connection ended without an answer.
+    /// Status of the last attempt; 0 when it got no response.
     pub status: u16,
     /// How long the last attempt took.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
-/// Asks for `path` at one node, and once more at the next if that fails, as callers do.
-pub async fn ask(cluster: &Cluster, first: usize, path: &str, id: &str) -> Asked {
+/// Requests `path` at one node, and retries once at the next if that fails, as callers do.
+pub async fn call_with_retry(
+    cluster: &Cluster,
+    first: usize,
+    path: &str,
+    id: &str,
+) -> CallerResult {
     let at = Instant::now();
-    let mut asked = Asked { at, status: 0, took: Duration::ZERO };
+    let mut result = CallerResult { at, status: 0, elapsed: Duration::ZERO };
     for attempt in 0..2 {
         let began = Instant::now();
         let left = DEADLINE.saturating_sub(at.elapsed());
         let front = cluster.fronts[(first + attempt) % cluster.fronts.len()];
-        let (status, come_back) = attempt_at(front, path, &format!("{id}-{attempt}"), left).await;
-        (asked.status, asked.took) = (status, began.elapsed());
+        let (status, retry_after) = attempt_at(front, path, &format!("{id}-{attempt}"), left).await;
+        (result.status, result.elapsed) = (status, began.elapsed());
         if status == 200 {
             break;
         }
         let left = DEADLINE.saturating_sub(at.elapsed());
-        monoio::time::sleep(come_back.min(left / 3)).await;
+        monoio::time::sleep(retry_after.min(left / 3)).await;
     }
-    asked
+    result
 }
 
-/// Makes one attempt; returns its status and when to come back.
+/// Makes one attempt; returns its status and its `Retry-After`.
 async fn attempt_at(front: SocketAddr, path: &str, id: &str, left: Duration) -> (u16, Duration) {
     let mut caller = Caller::connect(front).await;
     let deadline_ms = left.as_millis();
@@ -384,8 +400,9 @@
         .await;
     match monoio::time::timeout(left, caller.read()).await {
         Ok(Some(got)) => {
-            let after = got.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
-            (got.status, Duration::from_secs_f64(after.unwrap_or(0.0)))
+            let retry_after =
+                got.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+            (got.status, Duration::from_secs_f64(retry_after.unwrap_or(0.0)))
         }
         Ok(None) | Err(_) => (0, ms(0)),
     }
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash every upstream that runs them.
+//! Quarantine of requests that crash every upstream that runs them.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -8,119 +8,120 @@
 use quarantine::{ContentKey, Quarantine, Start};
 use web::h1;
 
-use super::crashing::{ask, Asked, Cluster, Platform, SLOTS};
+use super::crash_cluster::{call_with_retry, CallerResult, Cluster, Platform, SLOTS};
 use super::fake::{get, ms, run, start, up, Act, Caller, Upstream};
 use crate::forward::{content_of, Node};
 
-/// Time in which all nodes must know of a request that has crashed its third upstream.
-const KNOWN_WITHIN: Duration = Duration::from_millis(3_000);
+/// Time after the third crash by a request within which all nodes must know of it.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(3_000);
 
-/// Upstreams that it may reach after that.
-const REACHED_MOST: usize = 3;
+/// Upstreams that the request may reach after that time.
+const MAX_REACHED: usize = 3;
 
-/// How long each test goes on after that, so that there is something to see.
-const WATCHED_FOR: Duration = Duration::from_millis(2_500);
+/// How long a test goes on after that time, to observe further sends.
+const OBSERVATION_TIME: Duration = Duration::from_millis(2_500);
 
 /// Longest time until three upstreams have crashed.
-const CRASHED_WITHIN: Duration = Duration::from_secs(5);
+const MAX_TIME_TO_THIRD_CRASH: Duration = Duration::from_secs(5);
 
-/// Time for the nodes to find each other.
-const JOINED: Duration = Duration::from_millis(1_500);
+/// Time for the nodes to discover each other.
+const JOIN_TIME: Duration = Duration::from_millis(1_500);
 
-/// Callers that go on until `done`; each asks for `path`, with a number of its own unless it is
-/// `popular`.
-fn call(
+/// Starts one caller after the other until `done`. All request `path` if it is `popular`, otherwise
+/// each appends a number of its own. Returns the results as they come in.
+fn start_callers(
     cluster: &Rc<Cluster>,
     path: &'static str,
     popular: bool,
     pause: Duration,
     done: &Rc<Cell<bool>>,
-) -> Rc<RefCell<Vec<Asked>>> {
-    let all: Rc<RefCell<Vec<Asked>>> = Rc::default();
-    let (cluster, asked, done) = (cluster.clone(), all.clone(), done.clone());
+) -> Rc<RefCell<Vec<CallerResult>>> {
+    let all_results: Rc<RefCell<Vec<CallerResult>>> = Rc::default();
+    let (cluster, results, done) = (cluster.clone(), all_results.clone(), done.clone());
     monoio::spawn(async move {
         for n in 0.. {
             if done.get() {
                 return;
             }
-            let (cluster, asked) = (cluster.clone(), asked.clone());
+            let (cluster, results) = (cluster.clone(), results.clone());
             let path = if popular { path.to_owned() } else { format!("{path}{n}") };
             monoio::spawn(async move {
-                let one = ask(&cluster, n, &path, &format!("{path}-{n}")).await;
-                asked.borrow_mut().push(one);
+                let result = call_with_retry(&cluster, n, &path, &format!("{path}-{n}")).await;
+                results.borrow_mut().push(result);
             });
             monoio::time::sleep(pause).await;
         }
     });
-    all
+    all_results
 }
 
-/// One caller makes the same request every 150 ms, each time at another node and under another id,
-/// and once more when it fails. Its upstream crashes under it after 60 ms. Nodes sent it on to the
-/// next upstream, and so did the caller's returns: nothing remembered what had been under way at
-/// upstreams that crashed, and every attempt counted as a new request. In one such series fifteen
-/// upstreams crashed within five seconds, and then seven of ten requests of the service were refused
-/// for want of upstreams. Once nodes logged what was under way at each, one key stood in the lines of
-/// all 47 upstreams that had crashed in another:
-///
-/// `"upstream_ended","upstream":"i-0006","under_way":[{"content":"ca2cec8ae1ff721db93c616c8e662121","ran_ms":31}]`
-/// `"upstream_ended","upstream":"i-0003","under_way":[{"content":"ca2cec8ae1ff721db93c616c8e662121","ran_ms":31}]`
+/// Guards against a request that crashes one upstream after the other. It comes every 150 ms, each
+/// time at another node and under another request id, and once more when it fails; its upstream
+/// crashes after 60 ms. If nodes do not remember what was in flight at crashed upstreams, each of its
+/// attempts counts as a new request and is sent to the next upstream: one such series crashed fifteen
+/// upstreams in five seconds, and seven of ten requests of the service were refused for lack of one.
 #[test]
-fn a_request_that_crashes_upstreams_is_kept_from_them() {
-    keeps_a_crashing_request_from_upstreams(88, 4, 12);
+fn a_request_that_crashes_upstreams_is_quarantined() {
+    assert_crashing_request_is_quarantined(88, 4, 12);
 }
 
-/// As above, where each attempt comes to a node that has seen none before: no node sees a third
-/// crash, and what each of them may send adds up.
+/// As above, where each attempt reaches a node that has not seen the request before: no single node
+/// sees a third crash, and the sends that each of them allows add up.
 #[test]
-fn sixteen_nodes_keep_a_crashing_request_from_upstreams() {
-    keeps_a_crashing_request_from_upstreams(89, 16, 16);
+fn sixteen_nodes_quarantine_a_crashing_request() {
+    assert_crashing_request_is_quarantined(89, 16, 16);
 }
 
-fn keeps_a_crashing_request_from_upstreams(net: u8, nodes: u8, upstreams: usize) {
+fn assert_crashing_request_is_quarantined(net: u8, nodes: u8, upstreams: usize) {
     run(async {
         let cluster = Cluster::start(net, nodes, upstreams, "crash");
-        monoio::time::sleep(JOINED).await;
+        monoio::time::sleep(JOIN_TIME).await;
         let done = Rc::new(Cell::new(false));
-        let innocent = call(&cluster, "/get/seed/", false, ms(8), &done);
-        let popular = call(&cluster, "/get/popular", true, ms(40), &done);
+        let harmless = start_callers(&cluster, "/get/seed/", false, ms(8), &done);
+        let popular = start_callers(&cluster, "/get/popular", true, ms(40), &done);
         monoio::time::sleep(ms(300)).await;
-        let crashing = call(&cluster, "/get/crash", true, ms(150), &done);
-        monoio::time::timeout(CRASHED_WITHIN, async {
+        let crashing = start_callers(&cluster, "/get/crash", true, ms(150), &done);
+        monoio::time::timeout(MAX_TIME_TO_THIRD_CRASH, async {
             while cluster.third_crash().is_none() {
                 monoio::time::sleep(ms(20)).await;
             }
         })
         .await
         .expect("three upstreams crash");
-        let known_by = cluster.third_crash().expect("there was one") + KNOWN_WITHIN;
-        monoio::time::sleep(KNOWN_WITHIN + WATCHED_FOR).await;
+        let known_by = cluster.third_crash().expect("a third crash") + MAX_PROPAGATION_TIME;
+        monoio::time::sleep(MAX_PROPAGATION_TIME + OBSERVATION_TIME).await;
         done.set(true);
         monoio::time::sleep(ms(600)).await;
 
         let seen = cluster.seen.borrow();
         let reached = seen.arrivals.iter().filter(|at| **at > known_by).count();
         assert!(
-            reached <= REACHED_MOST,
-            "reached {reached} upstreams after that; {} crashed in all",
+            reached <= MAX_REACHED,
+            "reached {reached} upstreams after all nodes had to know; {} crashed in all",
             seen.crashes.len()
         );
-        let late = |asked: &&Asked| asked.at > known_by;
-        let failed = |all: &RefCell<Vec<Asked>>| {
-            all.borrow().iter().filter(late).filter(|asked| asked.status != 200).count()
+        let late = |result: &&CallerResult| result.at > known_by;
+        let failed_count = |all: &RefCell<Vec<CallerResult>>| {
+            all.borrow().iter().filter(late).filter(|result| result.status != 200).count()
         };
-        let may_fail = REACHED_MOST * SLOTS;
-        assert!(failed(&innocent) + failed(&popular) <= may_fail, "others are served");
-        assert!(crashing.borrow().iter().filter(late).count() > 10, "it went on coming");
+        let may_fail = MAX_REACHED * SLOTS;
+        assert!(
+            failed_count(&harmless) + failed_count(&popular) <= may_fail,
+            "other requests are served"
+        );
+        assert!(
+            crashing.borrow().iter().filter(late).count() > 10,
+            "the crashing request keeps coming"
+        );
     });
 }
 
-/// Stops the test as soon as something holds.
+/// Waits until `holds` returns true; panics with `what` after `within`.
 async fn until(what: &str, within: Duration, holds: impl Fn() -> bool) {
     until_or(|| what.to_owned(), within, holds).await;
 }
 
-/// The same; says `what` was seen instead.
+/// The same, with a message that is made when the time is over.
 async fn until_or(what: impl Fn() -> String, within: Duration, holds: impl Fn() -> bool) {
     let began = Instant::now();
     while !holds() {
@@ -129,23 +130,23 @@
     }
 }
 
-/// Has a cluster hold the request back, by making it again and again.
-async fn hold_back(cluster: &Rc<Cluster>) {
+/// Repeats the crashing request until all nodes of the cluster have quarantined it.
+async fn quarantine_request(cluster: &Rc<Cluster>) {
     let done = Rc::new(Cell::new(false));
-    call(cluster, "/get/crash", true, ms(120), &done);
-    let known = || format!("all nodes hold it back: {:#?}", cluster.findings());
-    until_or(known, ms(5_000), || cluster.all_hold_back(1)).await;
+    start_callers(cluster, "/get/crash", true, ms(120), &done);
+    let known = || format!("all nodes quarantine it: {:#?}", cluster.findings());
+    until_or(known, ms(5_000), || cluster.all_nodes_quarantine(1)).await;
     done.set(true);
 }
 
-/// A request that is held back is refused at once and truly, with a time to come back that does not
-/// make it come again each second; another one of the same caller and route is served.
+/// A quarantined request is refused at once and reaches no upstream, with a `Retry-After` long enough
+/// that it does not return each second. Another request of the same caller and route is served.
 #[test]
-fn a_request_that_is_held_back_is_refused_at_once() {
+fn a_quarantined_request_is_refused_at_once() {
     run(async {
         let cluster = Cluster::start(90, 3, 8, "crash");
-        monoio::time::sleep(JOINED).await;
-        hold_back(&cluster).await;
+        monoio::time::sleep(JOIN_TIME).await;
+        quarantine_request(&cluster).await;
         monoio::time::sleep(ms(500)).await;
         let reached = cluster.seen.borrow().arrivals.len();
         for front in &cluster.fronts {
@@ -164,134 +165,136 @@
     });
 }
 
-/// Callers of a popular request are refused for minutes although it never did anything: half of the
-/// upstreams ended at once, each of them was running a copy of it, and copies sent since ran at others
-/// that ended a moment later. Copies that were sent before the first end was known are no evidence of
-/// their own, and each answer clears the request.
+/// Guards against quarantining a harmless popular request. Half of the upstreams end at once, each
+/// while it runs a copy of the request; copies sent since run at others that end a moment later.
+/// Copies that were sent before the first end was known are no further evidence, and each response
+/// clears the request.
 #[test]
-fn a_popular_request_outlives_the_end_of_half_of_the_upstreams() {
+fn a_popular_request_survives_the_end_of_half_of_the_upstreams() {
     run(async {
         let cluster = Cluster::start(91, 4, 12, "crash");
-        monoio::time::sleep(JOINED).await;
+        monoio::time::sleep(JOIN_TIME).await;
         let done = Rc::new(Cell::new(false));
-        let popular = call(&cluster, "/get/popular/long", true, ms(15), &done);
+        let popular = start_callers(&cluster, "/get/popular/long", true, ms(15), &done);
         monoio::time::sleep(ms(600)).await;
-        cluster.end_some(6);
+        cluster.end_upstreams(6);
         monoio::time::sleep(ms(120)).await;
-        cluster.end_some(3);
-        // The copies under way by then have ended.
+        cluster.end_upstreams(3);
+        // The copies in flight by then have ended.
         let settled = Instant::now() + ms(300);
         monoio::time::sleep(ms(1_500)).await;
         done.set(true);
         monoio::time::sleep(ms(600)).await;
-        assert!(cluster.all_hold_back(0));
+        assert!(cluster.all_nodes_quarantine(0));
         let popular = popular.borrow();
-        let later: Vec<u16> =
-            popular.iter().filter(|asked| asked.at > settled).map(|asked| asked.status).collect();
+        let later: Vec<u16> = popular
+            .iter()
+            .filter(|result| result.at > settled)
+            .map(|result| result.status)
+            .collect();
         assert!(later.len() > 50 && later.iter().all(|status| *status == 200), "{later:?}");
     });
 }
 
-/// Callers whose requests ran beside the crashing one are refused for minutes: they were lost at three
-/// upstreams one after the other, since all nodes sent what was lost on to the same upstream, the one
-/// that crashes next. Kept apart by each node alone, requests of two nodes still met by chance, twice:
-/// in one run of twelve all nodes held back a harmless request that had run at three of the five
-/// upstreams which the other had crashed, and nowhere else:
-///
-/// `content 6340…, waves 3, crashed 2258…, 5863…, 16899…`
-/// `content 83bd…, waves 3, crashed 885…, 2258…, 2923…, 5863…, 16899…`
+/// Guards against quarantining requests that ran beside the crashing one. If all nodes send what was
+/// lost to the same upstream, the next to crash, harmless requests are lost at three upstreams in a
+/// row as well. Isolation within each node alone is not enough: requests of two nodes still met by
+/// chance, and in one run of twelve a harmless request was quarantined by all nodes.
 #[test]
-fn requests_that_ran_beside_a_crashing_one_are_not_held_back() {
+fn requests_that_ran_beside_a_crashing_one_are_not_quarantined() {
     run(async {
         let cluster = Cluster::start(92, 4, 8, "crash");
-        monoio::time::sleep(JOINED).await;
+        monoio::time::sleep(JOIN_TIME).await;
         let done = Rc::new(Cell::new(false));
-        let beside = call(&cluster, "/get/beside/long", false, ms(10), &done);
+        let concurrent = start_callers(&cluster, "/get/beside/long", false, ms(10), &done);
         monoio::time::sleep(ms(600)).await;
-        hold_back(&cluster).await;
+        quarantine_request(&cluster).await;
         monoio::time::sleep(ms(1_500)).await;
         done.set(true);
         monoio::time::sleep(ms(600)).await;
-        assert!(cluster.all_hold_back(1), "the crashing one alone: {:#?}", cluster.findings());
-        assert!(beside.borrow().len() > 100);
+        assert!(
+            cluster.all_nodes_quarantine(1),
+            "only the crashing request is quarantined: {:#?}",
+            cluster.findings()
+        );
+        assert!(concurrent.borrow().len() > 100);
     });
 }
 
-/// A node that started after the others knew, or was cut off meanwhile, sends the request on and three
-/// more upstreams crash: it never heard of what was told before.
+/// Guards against a node that missed the broadcast of a finding, since it started later or was
+/// partitioned: it would send the request to upstreams and crash three more.
 #[test]
-fn a_node_that_joins_late_holds_back_what_the_others_do() {
+fn a_node_that_joins_late_learns_existing_findings() {
     run(async {
         let cluster = Cluster::start(93, 4, 8, "crash");
-        monoio::time::sleep(JOINED).await;
-        hold_back(&cluster).await;
-        // News is not told any more by then.
+        monoio::time::sleep(JOIN_TIME).await;
+        quarantine_request(&cluster).await;
+        // By then the finding is no longer broadcast.
         monoio::time::sleep(ms(6_000)).await;
-        let late = cluster.join_another();
+        let late = cluster.start_another_node();
         let knows = || late.state.borrow().quarantine.quarantined().count() == 1;
-        until("it is told", ms(3_000), knows).await;
+        until("the new node learns of the finding", ms(3_000), knows).await;
     });
 }
 
-/// All nodes are restarted at the same moment and the request crashes three more upstreams, after each
-/// restart anew: what only nodes knew is gone with them.
+/// Guards against a request that crashes three more upstreams after each restart of the whole fleet,
+/// since findings known only to the nodes are lost with them.
 #[test]
-fn a_restart_of_all_nodes_forgets_nothing_that_is_held_back() {
+fn findings_survive_a_restart_of_all_nodes() {
     run(async {
         let platform = Platform::default();
         let cluster = Cluster::start(94, 3, 8, "crash");
         cluster.nodes.iter().for_each(|node| platform.serve(node));
-        monoio::time::sleep(JOINED).await;
-        hold_back(&cluster).await;
+        monoio::time::sleep(JOIN_TIME).await;
+        quarantine_request(&cluster).await;
         until("it is kept", ms(3_000), || platform.kept.borrow().len() == 1).await;
         monoio::time::sleep(ms(1_000)).await;
-        // One node reads at its start and writes, is told its own row, then waits.
+        // One node reads at its start and writes, receives its own row, then waits.
         assert_eq!(platform.calls.get(), 1 + 1 + 2);
 
         let after = Cluster::start(95, 3, 8, "crash");
         after.nodes.iter().for_each(|node| platform.serve(node));
-        until("all nodes know again", ms(3_000), || after.all_hold_back(1)).await;
+        until("all nodes know again", ms(3_000), || after.all_nodes_quarantine(1)).await;
 
         let mut finding = platform.kept.borrow()[0].hold.finding.clone();
         finding = finding.cleared(finding.until_unix_ms);
         platform.put(finding);
-        until("an operator lifts it", ms(3_000), || after.all_hold_back(0)).await;
+        until("an operator lifts it", ms(3_000), || after.all_nodes_quarantine(0)).await;
     });
 }
 
-/// The wait for an operator's word goes silent without a sign, and a lift is not heard of for as long as
-/// it lasts.
+/// Guards against missing an operator's lift while the long poll for it hangs without an error.
 #[test]
-fn a_lift_is_heard_of_though_the_wait_for_it_went_silent() {
+fn a_lift_is_noticed_although_the_long_poll_for_it_hangs() {
     run(async {
         let platform = Platform::default();
         let cluster = Cluster::start(101, 3, 8, "crash");
         cluster.nodes.iter().for_each(|node| platform.serve(node));
-        monoio::time::sleep(JOINED).await;
-        hold_back(&cluster).await;
+        monoio::time::sleep(JOIN_TIME).await;
+        quarantine_request(&cluster).await;
         until("it is kept", ms(3_000), || platform.kept.borrow().len() == 1).await;
         monoio::time::sleep(ms(500)).await;
         platform.stalls.set(1);
         let finding = platform.kept.borrow()[0].hold.finding.clone();
         platform.put(finding.cleared(finding.until_unix_ms));
-        until("an operator lifts it", ms(10_000), || cluster.all_hold_back(0)).await;
+        until("an operator lifts it", ms(10_000), || cluster.all_nodes_quarantine(0)).await;
     });
 }
 
-/// A request that an operator has lifted is held back again: the platform came back from a copy that was
-/// made before the word, and nobody had kept it.
+/// Guards against a lifted request that is quarantined again: the platform was restored from a copy
+/// older than the operator's lift, and no node remembers the lift to write it again.
 #[test]
-fn an_operators_word_is_written_again_after_the_platform_went_back() {
+fn a_lift_is_written_again_after_the_platform_rolled_back() {
     run(async {
         let platform = Platform::default();
         let cluster = Cluster::start(100, 3, 8, "crash");
         cluster.nodes.iter().for_each(|node| platform.serve(node));
-        monoio::time::sleep(JOINED).await;
-        hold_back(&cluster).await;
+        monoio::time::sleep(JOIN_TIME).await;
+        quarantine_request(&cluster).await;
         until("it is kept", ms(3_000), || platform.kept.borrow().len() == 1).await;
         let older = platform.kept.borrow()[0].hold.clone();
         platform.put(older.finding.cleared(older.finding.until_unix_ms));
-        until("an operator lifts it", ms(3_000), || cluster.all_hold_back(0)).await;
+        until("an operator lifts it", ms(3_000), || cluster.all_nodes_quarantine(0)).await;
 
         platform.write(older);
         for node in &cluster.nodes {
@@ -301,15 +304,15 @@
             let kept = platform.kept.borrow();
             kept[0].hold.written_by == "ana" && kept[0].hold.why.is_some()
         };
-        until("the word is written again", ms(5_000), is_written).await;
+        until("the lift is written again", ms(5_000), is_written).await;
         monoio::time::sleep(ms(500)).await;
-        assert!(cluster.all_hold_back(0), "an older hold never undoes a lift");
+        assert!(cluster.all_nodes_quarantine(0), "an older hold never undoes a lift");
     });
 }
 
-/// While nothing is held back, what is kept costs no call.
+/// While no request is quarantined, nodes make no calls to the platform about findings.
 #[test]
-fn what_is_kept_costs_no_call_while_nothing_is_held_back() {
+fn no_calls_are_made_while_nothing_is_quarantined() {
     run(async {
         let platform = Platform::default();
         let cluster = Cluster::start(96, 3, 4, "crash");
@@ -322,10 +325,10 @@
     });
 }
 
-/// Callers are refused for minutes since some upstream loses answers: it closes connections under the
-/// same request again and again, and serves all others. Nothing crashed there.
+/// Guards against quarantining a request because an upstream loses responses: it closes the connection
+/// on the same request again and again and serves all others, but nothing crashes.
 #[test]
-fn lost_answers_hold_nothing_back() {
+fn lost_responses_are_no_crashes() {
     run(async {
         let upstream = Upstream::start(vec![vec![Act::Close]]);
         let other = Upstream::start(vec![vec![Act::Close]]);
@@ -341,8 +344,8 @@
     });
 }
 
-/// A request is held back though nothing crashed: its answer was lost in a cut, and connections to the
-/// upstream were not made in time. Only an address that refuses connections is one of a process that has ended.
+/// Guards against quarantining a request because its upstream is unreachable: its response is lost in
+/// a partition and new connections time out. Only a refused connection means that the process ended.
 #[test]
 fn an_upstream_that_cannot_be_reached_has_not_crashed() {
     run(async {
@@ -358,36 +361,36 @@
     });
 }
 
-/// A request is held back since it was cut three times when upstreams ended as planned: they had been
-/// let go before, and ended while they still worked on it.
+/// Guards against counting planned ends of upstreams as crashes: they had been removed from the list
+/// and ended while they still worked on the request.
 #[test]
-fn an_upstream_that_was_let_go_before_it_ends_is_no_evidence() {
+fn planned_ends_of_upstreams_are_no_crashes() {
     run(async {
         let cluster = Cluster::start(97, 1, 2, "crash");
         let done = Rc::new(Cell::new(false));
-        let long = call(&cluster, "/get/popular/long", true, ms(60), &done);
+        let long = start_callers(&cluster, "/get/popular/long", true, ms(60), &done);
         monoio::time::sleep(ms(150)).await;
-        cluster.let_all_go();
+        cluster.unlist_all_upstreams();
         monoio::time::sleep(ms(20)).await;
-        cluster.end_some(2);
+        cluster.end_upstreams(2);
         monoio::time::sleep(ms(300)).await;
         done.set(true);
-        assert!(long.borrow().iter().any(|asked| asked.status != 200));
+        assert!(long.borrow().iter().any(|result| result.status != 200));
         let state = cluster.nodes[0].state.borrow();
         assert!(state.quarantine.is_empty(), "{:?}", state.quarantine.findings());
     });
 }
 
-/// The same for requests that must not run twice, which no node and no caller sends again by itself, and for
-/// bodies that are still coming in when they are sent on: each return is a request of its own.
+/// Non-idempotent requests and requests with streamed bodies are never retried by nodes, so that each
+/// attempt is a request of its own. They are quarantined as well.
 #[yare::parameterized(
     claims = { 98, 4 },
     long_bodies = { 99, 200 * 1024 },
 )]
-fn what_is_never_sent_again_is_held_back_too(net: u8, body_bytes: usize) {
+fn requests_that_are_never_retried_are_quarantined_too(net: u8, body_bytes: usize) {
     run(async {
         let cluster = Cluster::start(net, 3, 8, "crash");
-        monoio::time::sleep(JOINED).await;
+        monoio::time::sleep(JOIN_TIME).await;
         let claim = |n: usize| {
             format!(
                 "POST /post/crash HTTP/1.1\r\nHost: seeds.example\r\nx-id: {n}\r\nx-deadline: 500\r\n\
@@ -401,15 +404,15 @@
             last = caller.ask(&claim(n)).await.status;
             monoio::time::sleep(ms(100)).await;
         }
-        assert_eq!(last, 503, "told that it has not run");
-        assert!(cluster.all_hold_back(1));
-        // A first crash is told to others after 0.4 s: until then each node may see one of its own.
+        assert_eq!(last, 503, "refused without having run");
+        assert!(cluster.all_nodes_quarantine(1));
+        // A first crash is broadcast after 0.4 s: until then each node may see a crash of its own.
         let crashed = cluster.seen.borrow().crashes.len();
-        assert!((3..=6).contains(&crashed), "{crashed} crashed");
+        assert!((3..=6).contains(&crashed), "{crashed} upstreams crashed");
     });
 }
 
-/// Returns the key of a request without a body.
+/// Returns the content key of a GET request for `path`.
 fn content(path: &str) -> ContentKey {
     let text = get(path, "0");
     let parsed = h1::parse_request(text.as_bytes(), 4_096).expect("a request");
@@ -417,19 +420,19 @@
     content_of(&head, &[])
 }
 
-/// Requests that were lost together are lost together once more: all of them are sent on to the upstream
-/// that looks best, and one of them crashes it. Which one it is cannot be told again.
+/// Guards against sending suspected requests to the same upstream. Requests lost together at a crash
+/// would all go to the best upstream and be lost together again, without showing which one crashes it.
 #[test]
 fn suspected_requests_do_not_run_at_the_same_upstream() {
     run(async {
         let cluster = Cluster::start(86, 1, 3, "crash");
         let paths = ["/get/a/long", "/get/b/long", "/get/c/long"];
         for path in paths {
-            let ledger = &mut cluster.nodes[0].state.borrow_mut().quarantine;
-            let known = ledger.version(content(path));
-            ledger.record_crash(content(path), known, Start::of("u", 1), crate::unix_ms());
+            let quarantine = &mut cluster.nodes[0].state.borrow_mut().quarantine;
+            let known = quarantine.version(content(path));
+            quarantine.record_crash(content(path), known, Start::of("u", 1), crate::unix_ms());
         }
-        // One looks best to all of them.
+        // One upstream is the best for all of them.
         for (index, slowness) in [(0, 1.0), (1, 2.0), (2, 2.0)] {
             let state = &mut *cluster.nodes[0].state.borrow_mut();
             let pool = state.pools.get_mut("desk").expect("a pool");
@@ -452,14 +455,13 @@
         upstreams.sort_unstable();
         upstreams.dedup();
         assert_eq!((seen.ran.len(), upstreams.len()), (3, 3), "{:?}", seen.ran);
-        assert!(cluster.nodes[0].state.borrow().quarantine.is_empty(), "answers cleared them");
+        assert!(cluster.nodes[0].state.borrow().quarantine.is_empty(), "responses cleared them");
     });
 }
 
-/// A request that waits at the node for room crashes one more upstream: it came before the word that holds
-/// it back, and was sent when a slot was free.
+/// Guards against sending a request that is quarantined while it waits at the node for a free slot.
 #[test]
-fn what_waits_for_room_is_refused_when_the_word_comes() {
+fn a_waiting_request_is_refused_when_it_is_quarantined() {
     run(async {
         let cluster = Cluster::start(87, 1, 1, "crash");
         let node = cluster.nodes[0].clone();
@@ -480,12 +482,12 @@
             let known = other.version(content);
             other.record_crash(content, known, Start::of("u", n), crate::unix_ms());
         }
-        let finding = other.quarantined().next().expect("it is held back").clone();
+        let finding = other.quarantined().next().expect("a quarantined request").clone();
         node.merge_finding(&finding, "a peer");
-        let heard_at = Instant::now();
-        let got = caller.read().await.expect("an answer");
+        let merged_at = Instant::now();
+        let got = caller.read().await.expect("a response");
         assert_eq!((got.status, cluster.seen.borrow().arrivals.len()), (503, 0));
         assert_eq!(node.state.borrow().counters.refused_crashing, 1);
-        assert!(heard_at.elapsed() < ms(60), "at once, not when there is room");
+        assert!(merged_at.elapsed() < ms(60), "at once, not when a slot is free");
     });
 }
--- a/crates/edge/src/tests/evacuation.rs
+++ b/crates/edge/src/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Availability zones whose upstreams are to get nothing.
+//! Evacuated availability zones, whose upstreams get no requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,18 +12,17 @@
 use crate::history::Cursor;
 use crate::relay;
 
-/// Time in which an evacuation must be in force on a node that reads through another.
-const IN_FORCE: Duration = Duration::from_millis(1_000);
+/// Time within which an evacuation must be in force on a node that reads the platform through a peer.
+const PROPAGATION_TIME: Duration = Duration::from_millis(1_000);
 
 fn evacuate(entered: &Entered, zones: &[&str]) {
     let zones = zones.iter().map(|zone| Zone::from(*zone)).collect();
     let frame = relay::Frame::Evacuated { up_to: 9, newest: 9, zones };
-    follow::adopt(&entered.node, super::fleet::addr(2), frame).expect("taken");
+    follow::adopt(&entered.node, super::fleet::addr(2), frame).expect("adopted");
 }
 
-/// Symptom: requests reach a zone that an operator has emptied.
-/// Sequence: the zone nearest to the node is evacuated; it is taken back.
-/// Cause: choosing among all upstreams that are listed.
+/// Guards against choosing among all listed upstreams, which sends requests to an evacuated zone. The
+/// node's own zone is evacuated and restored.
 #[test]
 fn requests_go_to_other_zones_while_one_is_evacuated() {
     run(async {
@@ -43,11 +42,10 @@
     });
 }
 
-/// Symptom: a request is cut although its zone is only to get nothing new; or it is sent there once more.
-/// Sequence: it is under way when the zone is evacuated, and is answered late.
-/// Cause: taking an evacuation for an end, or hedging by what was chosen before.
+/// Guards against aborting a request that is in flight when its zone is evacuated, and against a hedge
+/// to an upstream that was ranked before. The request gets a late response.
 #[test]
-fn what_is_under_way_ends_and_nothing_is_sent_beside_it() {
+fn requests_in_flight_end_and_are_not_hedged() {
     run(async {
         let slow = || vec![Act::Wait(ms(350)), answer("slow")];
         let (one, other) = (Upstream::start(vec![slow()]), Upstream::start(vec![slow()]));
@@ -56,15 +54,14 @@
         caller.write(&get("/get/1", "1")).await;
         monoio::time::sleep(ms(30)).await;
         evacuate(&entered, &["a", "b"]);
-        let got = caller.read().await.expect("an answer");
+        let got = caller.read().await.expect("a response");
         assert_eq!((got.status, got.body.as_str()), (200, "slow"));
         assert_eq!(one.runs() + other.runs(), 1, "no hedge");
     });
 }
 
-/// Symptom: callers wait until their deadline for a service none of whose upstreams may get anything.
-/// Sequence: all zones are evacuated; one of them by a name that no upstream has.
-/// Cause: waiting for room that cannot come.
+/// Guards against callers who wait until their deadline while all zones are evacuated and no slot can
+/// become free. One of the evacuated zones has no upstream.
 #[test]
 fn requests_are_refused_at_once_while_all_zones_are_evacuated() {
     run(async {
@@ -77,13 +74,12 @@
         assert_eq!(got.status, 503, "it has not run");
         assert!(got.headers.contains_key("retry-after"));
         assert_eq!(one.connections.get() + other.connections.get(), 0);
-        assert!(entered.node.state.borrow().is_ready(), "the node itself is well");
+        assert!(entered.node.state.borrow().is_ready(), "the node itself is ready");
     });
 }
 
-/// Symptom: a hundred nodes go on sending to a zone that was evacuated.
-/// Sequence: they read the platform through a peer, begun before or after the evacuation.
-/// Cause: passing on configurations and upstreams alone.
+/// Guards against a relay that passes on configurations and upstreams but no evacuations: nodes that
+/// subscribed to a peer before or after the evacuation would keep sending to the zone.
 #[test]
 fn evacuations_reach_nodes_that_read_through_another() {
     run(async {
@@ -93,7 +89,7 @@
         let begin = || {
             let (node, _) = start_follower(&platform);
             let state = &mut *node.state.borrow_mut();
-            // Three readers come before it, of which one can be reached.
+            // Three readers precede it, of which one is reachable.
             state.settings.peer_addr = ([127, 0, 0, 1], 65_535).into();
             let unreachable = (1..=2).map(|port| ([127, 0, 0, 1], port).into());
             for peer in unreachable.chain([at]) {
@@ -109,22 +105,22 @@
         until_subscribed(&early).await;
         platform.evacuated.borrow_mut().push("a".into());
         platform.config.set(9);
-        monoio::time::sleep(IN_FORCE).await;
+        monoio::time::sleep(PROPAGATION_TIME).await;
         let late = begin();
         until_subscribed(&late).await;
-        monoio::time::sleep(IN_FORCE).await;
+        monoio::time::sleep(PROPAGATION_TIME).await;
         assert!(evacuated(&reader) && evacuated(&early) && evacuated(&late));
 
-        // An upstream that is listed anew in that zone gets nothing either.
+        // An upstream newly listed in that zone gets no requests either.
         platform.list.borrow_mut().push(entry(2));
         platform.list_version.set(9);
-        monoio::time::sleep(IN_FORCE).await;
+        monoio::time::sleep(PROPAGATION_TIME).await;
         assert!(evacuated(&reader) && evacuated(&early));
         assert_eq!(reader.state.borrow().pools["desk"].upstreams().len(), 2);
     });
 }
 
-/// A platform that tells of an evacuation, drops its history, and then answers as of before it.
+/// A platform that reports an evacuation, drops its history and then returns an older state.
 #[derive(Clone, Default)]
 struct Lagging {
     snapshots: Rc<Cell<u32>>,
@@ -145,7 +141,7 @@
         _topic: Topic,
         cursor: Cursor,
         wait: Duration,
-        _patience: Duration,
+        _grace: Duration,
     ) -> Result<Batch, SourceError> {
         if cursor == 9 {
             return Err(SourceError::HistoryGone);
@@ -159,19 +155,17 @@
     }
 }
 
-/// Symptom: an evacuated zone gets requests again for some seconds.
-/// Sequence: the platform drops its history; the node reads everything again and gets what was there
-/// three seconds ago.
-/// Cause: taking a read for news that is older than what was seen.
+/// Guards against applying a read that is older than what the node has seen: after the platform drops
+/// its history, a full read returns its state of three seconds ago, without the evacuation.
 #[test]
-fn an_older_read_does_not_end_an_evacuation() {
+fn an_outdated_read_does_not_end_an_evacuation() {
     run(async {
         let node = start(&[]).node;
         let platform = Lagging::default();
         monoio::spawn(follow::run(platform.clone(), Topic::Config, node.clone()));
-        // The first wait begins once the node has looked for a peer.
+        // The first long poll begins once the node has looked for a peer to read through.
         monoio::time::sleep(ms(3_000)).await;
-        assert!(platform.snapshots.get() >= 2, "it was read again");
+        assert!(platform.snapshots.get() >= 2, "the platform was read again");
         assert!(node.state.borrow().evacuations.is_evacuated("a"));
     });
 }
--- a/crates/edge/src/tests/leaving.rs
+++ b/crates/edge/src/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use place::{Change, Entry};
 
-use super::callers::{ask_all, nodes};
+use super::callers::{nodes, send_requests};
 use super::fake::{
     answer, get, long_post, ms, post, run, start, up, Act, Caller, Entered, Upstream, BORN_MS,
 };
@@ -38,7 +38,7 @@
         let one = Upstream::start(vec![vec![leaving()]]);
         let other = Upstream::start(vec![vec![Act::Wait(ms(5)), answer("")]]);
         let nodes = nodes(&[&one, &other]);
-        let served = ask_all(&nodes[..1], request, Instant::now() + ms(2_500)).await;
+        let served = send_requests(&nodes[..1], request, Instant::now() + ms(2_500)).await;
         assert_eq!(after(&one, 0), 0);
         assert!(served > 50, "the others are served by the other upstream: {served}");
     });
--- a/crates/edge/src/tests/limits.rs
+++ b/crates/edge/src/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::callers::{ask_all, nodes};
+use super::callers::{nodes, send_requests};
 use super::fake::{answer, get, long_post, ms, post, run, Act, Upstream};
 
 /// From when on an upstream that has named its limit gets no more than the bound.
@@ -41,7 +41,7 @@
         let other = Upstream::start(vec![vec![Act::Wait(ms(5)), answer("")]]);
         let nodes = nodes(&[&slow, &other]);
         let begun = Instant::now();
-        let served = ask_all(&nodes, request, begun + IN_FORCE_AFTER + 2 * WINDOW).await;
+        let served = send_requests(&nodes, request, begun + IN_FORCE_AFTER + 2 * WINDOW).await;
         let first = slow.seen.borrow().first().expect("it is nearest to all nodes").at;
         let from = first + IN_FORCE_AFTER;
         let most = most_in_a_window(&slow, from);
--- a/crates/edge/src/tests/mod.rs
+++ b/crates/edge/src/tests/mod.rs
@@ -1,14 +1,14 @@
 //! Tests of the whole request path over loopback, against upstreams that do as they are told.
 
+mod allowed_regions;
 mod beliefs;
 mod budgets;
 mod callers;
+mod crash_cluster;
 mod crashes;
-mod crashing;
 mod evacuation;
 pub mod fake;
 pub mod fleet;
-mod homes;
 mod idle;
 mod in_force;
 mod large;
