--- a/crates/edge/src/follow/apply.rs
+++ b/crates/edge/src/follow/apply.rs
@@ -151,7 +151,7 @@
             // If it lost requests a moment ago, it crashed; its address may have accepted
             // connections again before any node tried one.
             place::Change::Drop { upstream, reason, .. } if *reason == place::RESTARTED => {
-                node.has_ended(upstream);
+                node.record_upstream_ended(upstream);
             }
             place::Change::Drop { .. } | place::Change::Put(_) => {}
         }
--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -119,7 +119,7 @@
     fn apply(&mut self, node: &Node, batch: Batch) {
         self.cursor = self.cursor.max(batch.cursor);
         for entry in batch.holds {
-            node.hear_finding(&entry.hold.finding, "the platform");
+            node.merge_finding(&entry.hold.finding, "the platform");
             if entry.hold.why.is_some() {
                 let decision = (entry.hold.clone(), Instant::now());
                 self.operator_holds.insert(entry.hold.finding.content, decision);
