--- a/xtask/src/cluster.rs
+++ b/xtask/src/cluster.rs
@@ -1,4 +1,5 @@
-//! A small system of separate processes on loopback, for the demo and end-to-end tests.
+//! A small deployment on loopback, each component in its own process, for the demo, the benchmarks
+//! and the end-to-end tests.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,54 +10,60 @@
 use bytes::Bytes;
 use store::proto;
 
-/// What to start.
+/// Size and timing of the cluster to start.
 #[derive(Clone, Debug)]
-pub struct Spec {
-    /// Service the upstreams serve.
+pub struct ClusterSpec {
+    /// Service that the upstreams serve.
     pub service: String,
-    /// Zones; upstreams and entries are spread over them in turn.
+    /// Availability zones; upstreams and entry nodes are distributed over them round robin.
     pub zones: Vec<String>,
-    /// Upstream stand-ins per zone.
+    /// Number of upstream stand-ins per zone.
     pub upstreams_per_zone: usize,
-    /// Entry nodes in all.
+    /// Total number of entry nodes.
     pub entries: usize,
-    /// Slots per upstream.
+    /// Requests that each upstream runs at once.
     pub slots: usize,
-    /// Mean light service time, in ms.
+    /// Mean service time of a light request, in milliseconds.
     pub light_ms: u64,
-    /// Mean heavy service time, in ms.
+    /// Mean service time of a heavy request, in milliseconds.
     pub heavy_ms: u64,
 }
 
-/// A started process and the address it printed.
-pub struct Proc {
-    /// Address it listens on.
+/// A started process and the listening address that it printed.
+pub struct Process {
+    /// Address that the process listens on.
     pub addr: SocketAddr,
-    /// Its zone, or empty for the platform.
+    /// Zone of the process; empty for the platform stand-in.
     pub zone: String,
     child: Child,
 }
 
-impl Proc {
-    /// Processor time the process has used so far, from `/proc/PID/schedstat`.
-    pub fn cpu(&self) -> Duration {
+impl Process {
+    /// Returns the CPU time that the process has used so far, from `/proc/PID/schedstat`.
+    ///
+    /// Zero when the file cannot be read.
+    pub fn cpu_time(&self) -> Duration {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))
             .unwrap_or_default();
         let ns = text.split_whitespace().next().and_then(|v| v.parse().ok()).unwrap_or(0);
         Duration::from_nanos(ns)
     }
 
-    /// Sends the process a signal.
+    /// Sends `signal` to the process.
+    ///
+    /// # Panics
+    ///
+    /// Panics when the signal cannot be sent.
     pub fn signal(&self, signal: rustix::process::Signal) {
         let pid = rustix::process::Pid::from_child(&self.child);
-        rustix::process::kill_process(pid, signal).expect("the process is ours");
+        rustix::process::kill_process(pid, signal).expect("child processes accept signals");
     }
 
-    /// Waits for the process to end by itself; returns whether it exited with success,
-    /// or `None` when it still runs after `limit`.
-    pub fn wait_exit(&mut self, limit: Duration) -> Option<bool> {
+    /// Waits for the process to exit by itself; returns whether it exited successfully, or `None`
+    /// when it still runs after `timeout`.
+    pub fn wait_exit(&mut self, timeout: Duration) -> Option<bool> {
         let started = Instant::now();
-        while started.elapsed() < limit {
+        while started.elapsed() < timeout {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Some(status.success());
             }
@@ -65,43 +72,53 @@
         None
     }
 
-    /// Resident memory of the process now, in bytes, from `/proc/PID/status`.
+    /// Returns the current resident memory of the process in bytes, from `/proc/PID/status`.
+    ///
+    /// Zero when the file cannot be read.
     pub fn rss_bytes(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .unwrap_or_default();
-        let kb = text
+        let kib = text
             .lines()
             .find_map(|l| l.strip_prefix("VmRSS:"))
             .and_then(|v| v.trim().trim_end_matches("kB").trim().parse::<u64>().ok())
             .unwrap_or(0);
-        kb * 1024
+        kib * 1024
     }
 }
 
-/// The started system; every process is killed on drop.
+/// A running cluster; dropping it kills all of its processes.
 pub struct Cluster {
-    /// Directory holding the binaries.
-    pub bins: PathBuf,
-    /// Directory for settings files and logs.
-    pub dir: PathBuf,
+    /// Directory of the binaries.
+    pub bin_dir: PathBuf,
+    /// Directory for settings files, templates and logs.
+    pub work_dir: PathBuf,
     /// The platform stand-in.
-    pub platform: Proc,
-    /// Upstream stand-ins.
-    pub upstreams: Vec<Proc>,
-    /// Entry nodes.
-    pub entries: Vec<Proc>,
+    pub platform: Process,
+    /// Upstream stand-ins, in the order in which they were started.
+    pub upstreams: Vec<Process>,
+    /// Entry nodes, in the order in which they were started.
+    pub entries: Vec<Process>,
 }
 
 impl Cluster {
-    /// Starts the system of `spec` from binaries in `bins`, writing files under `dir`.
+    /// Starts the cluster of `spec` from the binaries in `bin_dir`, writes its files to `work_dir`
+    /// and registers all processes in the platform stand-in's VM list.
     ///
     /// # Panics
     ///
-    /// Panics when a process does not start or does not say where it listens within 10 s.
-    pub fn start(bins: &Path, dir: &Path, spec: &Spec) -> Cluster {
-        std::fs::create_dir_all(dir).expect("work dir");
-        let platform =
-            spawn(bins, dir, "oatcove-platform", &["--listen", "127.0.0.1:0"], "", "platform");
+    /// Panics when a process does not start, does not print its listening address within 10 s,
+    /// or cannot be registered.
+    pub fn start(bin_dir: &Path, work_dir: &Path, spec: &ClusterSpec) -> Cluster {
+        std::fs::create_dir_all(work_dir).expect("work directory created");
+        let platform = spawn(
+            bin_dir,
+            work_dir,
+            "oatcove-platform",
+            &["--listen", "127.0.0.1:0"],
+            "",
+            "platform",
+        );
         let mut upstreams = Vec::new();
         for round in 0..spec.upstreams_per_zone {
             for zone in &spec.zones {
@@ -117,28 +134,28 @@
                     spec.heavy_ms.to_string(),
                 ];
                 let args: Vec<&str> = args.iter().map(String::as_str).collect();
-                upstreams.push(spawn(bins, dir, "oatcove-upstream", &args, zone, &name));
+                upstreams.push(spawn(bin_dir, work_dir, "oatcove-upstream", &args, zone, &name));
             }
         }
-        let (bins, dir) = (bins.to_owned(), dir.to_owned());
-        let mut cluster = Cluster { bins, dir, platform, upstreams, entries: Vec::new() };
+        let (bin_dir, work_dir) = (bin_dir.to_owned(), work_dir.to_owned());
+        let mut cluster = Cluster { bin_dir, work_dir, platform, upstreams, entries: Vec::new() };
         for index in 0..spec.entries {
             cluster.start_entry(&spec.zones[index % spec.zones.len()], &[]);
         }
-        cluster.register(spec);
+        cluster.register_vms(spec);
         cluster
     }
 
-    /// Starts one more entry node in `zone`, with `settings` in place of the launcher's own.
+    /// Starts another entry node in `zone`; `settings` override the launcher's defaults.
     ///
-    /// The VM list is left as it is.
+    /// The node is not added to the VM list.
     ///
     /// # Panics
     ///
-    /// As [`Cluster::start`].
+    /// Panics when the node does not start or does not print its listening address within 10 s.
     pub fn start_entry(&mut self, zone: &str, settings: &[(&str, String)]) {
         let index = self.entries.len();
-        let mut merged: std::collections::BTreeMap<&str, String> = [
+        let mut merged_settings: std::collections::BTreeMap<&str, String> = [
             ("node_id", format!("entry-{index}")),
             ("zone", zone.to_owned()),
             ("listen_addr", "127.0.0.1:0".to_owned()),
@@ -147,33 +164,36 @@
             ("vm_poll_ms", "200".to_owned()),
         ]
         .into();
-        merged.extend(settings.iter().cloned());
-        let text: String = merged.iter().map(|(key, value)| format!("{key}: {value}\n")).collect();
-        let path = self.dir.join(format!("entry-{index}.yaml"));
-        std::fs::write(&path, text).expect("settings written");
+        merged_settings.extend(settings.iter().cloned());
+        let text: String =
+            merged_settings.iter().map(|(key, value)| format!("{key}: {value}\n")).collect();
+        let path = self.work_dir.join(format!("entry-{index}.yaml"));
+        std::fs::write(&path, text).expect("settings file written");
         let path = path.to_string_lossy().into_owned();
         let (args, name) = (["--config", &path], format!("entry-{index}"));
-        let entry = spawn(&self.bins, &self.dir, "oatcoved", &args, zone, &name);
+        let entry = spawn(&self.bin_dir, &self.work_dir, "oatcoved", &args, zone, &name);
         self.entries.push(entry);
     }
 
-    /// Returns the JSON that entry node `index` answers at `path`; null when it does not answer.
-    pub fn ask_entry(&self, index: usize, path: &str) -> serde_json::Value {
-        call(self.entries[index].addr, http::Method::GET, path, Vec::new())
+    /// Returns the JSON body of entry node `index`'s response to a GET of `path`; null when there is
+    /// no response or its body is not JSON.
+    pub fn get_entry_json(&self, index: usize, path: &str) -> serde_json::Value {
+        send_request(self.entries[index].addr, http::Method::GET, path, Vec::new())
             .and_then(|response| serde_json::from_slice(response.body()).ok())
             .unwrap_or_default()
     }
 
-    /// Waits until `condition` holds for entry node `index`'s status.
+    /// Waits until the status of entry node `index` fulfils `condition`; returns whether it did so
+    /// within `timeout`.
     pub fn wait_for_status(
         &self,
         index: usize,
-        limit: Duration,
+        timeout: Duration,
         condition: impl Fn(&serde_json::Value) -> bool,
     ) -> bool {
         let started = Instant::now();
-        while started.elapsed() < limit {
-            if condition(&self.ask_entry(index, "/v1/status")) {
+        while started.elapsed() < timeout {
+            if condition(&self.get_entry_json(index, "/v1/status")) {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(50));
@@ -181,46 +201,54 @@
         false
     }
 
-    /// Sets the faults of the platform stand-in.
+    /// Sets the faults that the platform stand-in injects.
+    ///
+    /// # Panics
+    ///
+    /// Panics when the stand-in does not accept them.
     pub fn set_platform_faults(&self, faults: &proto::Faults) {
         let body = serde_json::to_vec(faults).expect("faults encode");
-        let answer = call(self.platform.addr, http::Method::POST, "/v1/faults", body);
-        assert!(answer.is_some_and(|a| a.status().is_success()), "faults not set");
+        let response = send_request(self.platform.addr, http::Method::POST, "/v1/faults", body);
+        assert!(response.is_some_and(|r| r.status().is_success()), "faults not set");
     }
 
-    /// Sets the mode of upstream stand-in `index`, as JSON.
+    /// Sets the mode of upstream stand-in `index`, an `emu::upstream::Mode` as JSON.
+    ///
+    /// # Panics
+    ///
+    /// Panics when the stand-in does not accept it.
     pub fn set_upstream_mode(&self, index: usize, mode: &serde_json::Value) {
         let body = serde_json::to_vec(mode).expect("mode encodes");
         let addr = self.upstreams[index].addr;
-        let answer = call(addr, http::Method::POST, "/admin/mode", body);
-        assert!(answer.is_some_and(|a| a.status().is_success()), "mode not set");
+        let response = send_request(addr, http::Method::POST, "/admin/mode", body);
+        assert!(response.is_some_and(|r| r.status().is_success()), "mode not set");
     }
 
-    /// Returns how many upstreams have crashed under a request.
-    pub fn crashed(&mut self) -> usize {
-        let crashed = |upstream: &mut Proc| {
-            let ended = upstream.child.try_wait().ok().flatten();
-            ended.and_then(|status| status.code()) == Some(emu::upstream::EXIT_CRASHED)
+    /// Returns the number of upstream stand-ins that crashed while they ran a request.
+    pub fn crashed_upstream_count(&mut self) -> usize {
+        let has_crashed = |upstream: &mut Process| {
+            let exit_status = upstream.child.try_wait().ok().flatten();
+            exit_status.and_then(|status| status.code()) == Some(emu::upstream::EXIT_CRASHED)
         };
-        self.upstreams.iter_mut().map(crashed).filter(|crashed| *crashed).count()
+        self.upstreams.iter_mut().map(has_crashed).filter(|crashed| *crashed).count()
     }
 
-    fn register(&self, spec: &Spec) {
+    fn register_vms(&self, spec: &ClusterSpec) {
         let upstreams =
             self.upstreams.iter().map(|p| (p, proto::VmRole::Upstream, spec.service.as_str()));
         let entries = self.entries.iter().map(|p| (p, proto::VmRole::Entry, ""));
         let vms: Vec<proto::Vm> = upstreams
             .chain(entries)
-            .map(|(proc_, role, service)| vm(proc_, role, service))
+            .map(|(process, role, service)| vm(process, role, service))
             .collect();
         self.put_vms(&vms);
     }
 
-    /// Adds or changes VMs in the platform stand-in's VM list, over one connection.
+    /// Adds or updates VMs in the platform stand-in's VM list, over one connection.
     ///
     /// # Panics
     ///
-    /// Panics when the stand-in refuses one.
+    /// Panics when the stand-in is unreachable or rejects a VM.
     pub fn put_vms(&self, vms: &[proto::Vm]) {
         let addr = self.platform.addr;
         let mut runtime = web::runtime();
@@ -233,23 +261,28 @@
                     .body(Bytes::from(serde_json::to_vec(vm).expect("vm encodes")))
                     .expect("request builds");
                 let response =
-                    conn.send(request, Duration::from_secs(5)).await.expect("platform answers");
+                    conn.send(request, Duration::from_secs(5)).await.expect("platform responds");
                 assert_eq!(response.status(), http::StatusCode::OK, "registering {}", vm.addr);
             }
         });
     }
 
-    /// Runs the `oatcove` CLI with `args`.
-    pub fn cli(&self, args: &[&str]) -> Output {
-        Command::new(self.bins.join("oatcove")).args(args).output().expect("oatcove runs")
+    /// Runs the `oatcove` CLI with `args` and waits for it to exit.
+    ///
+    /// # Panics
+    ///
+    /// Panics when the binary cannot be started.
+    pub fn run_cli(&self, args: &[&str]) -> Output {
+        Command::new(self.bin_dir.join("oatcove")).args(args).output().expect("oatcove runs")
     }
 
-    /// Writes `text` as a template file and applies it with the CLI; returns the CLI's output.
-    pub fn apply(&self, name: &str, text: &str) -> Output {
-        let path = self.dir.join(name);
+    /// Writes `text` to the template file `name` and applies it with the CLI; returns the CLI's
+    /// output.
+    pub fn apply_template(&self, name: &str, text: &str) -> Output {
+        let path = self.work_dir.join(name);
         std::fs::write(&path, text).expect("template written");
         let platform = self.platform.addr.to_string();
-        self.cli(&[
+        self.run_cli(&[
             "template",
             "apply",
             "--platform",
@@ -260,30 +293,32 @@
         ])
     }
 
-    /// Drains `upstream` with the CLI and waits until no entry node holds a call to it.
-    pub fn drain(&self, upstream: SocketAddr) -> Output {
+    /// Drains `upstream` with the CLI, which waits until no entry node has a call to it in flight;
+    /// returns the CLI's output.
+    pub fn drain_upstream(&self, upstream: SocketAddr) -> Output {
         let (platform, upstream) = (self.platform.addr.to_string(), upstream.to_string());
         let args =
             ["upstream", "drain", "--platform", &platform, "--actor", "demo", "--wait", &upstream];
-        self.cli(&args)
+        self.run_cli(&args)
     }
 
-    /// Waits until every entry node holds `service` at `version` or newer; returns how long it took.
+    /// Waits until every entry node has loaded version `version` of `service`'s template, or a newer
+    /// one; returns the time that took, or `None` after `timeout`.
     pub fn wait_for_version(
         &self,
         service: &str,
         version: u64,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<Duration> {
         let started = Instant::now();
-        while started.elapsed() < limit {
-            let all = self.entries.iter().all(|entry| {
-                call(entry.addr, http::Method::GET, "/v1/status", Vec::new())
+        while started.elapsed() < timeout {
+            let all_loaded = self.entries.iter().all(|entry| {
+                send_request(entry.addr, http::Method::GET, "/v1/status", Vec::new())
                     .and_then(|r| serde_json::from_slice::<serde_json::Value>(r.body()).ok())
                     .and_then(|v| v["templates"][service].as_u64())
-                    .is_some_and(|held| held >= version)
+                    .is_some_and(|loaded| loaded >= version)
             });
-            if all {
+            if all_loaded {
                 return Some(started.elapsed());
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -291,7 +326,7 @@
         None
     }
 
-    /// Upstream addresses, for the load tool's probe counters.
+    /// Returns the addresses of the upstream stand-ins, for the load tool, which reads their counters.
     pub fn upstream_addrs(&self) -> Vec<SocketAddr> {
         self.upstreams.iter().map(|p| p.addr).collect()
     }
@@ -299,31 +334,41 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        for proc_ in
+        for process in
             self.entries.iter_mut().chain(self.upstreams.iter_mut()).chain([&mut self.platform])
         {
-            let _ = proc_.child.kill();
-            let _ = proc_.child.wait();
+            let _ = process.child.kill();
+            let _ = process.child.wait();
         }
     }
 }
 
-/// Returns the VM-list entry of a process, live.
-pub fn vm(proc_: &Proc, role: proto::VmRole, service: &str) -> proto::Vm {
+/// Returns the VM-list entry of a process, in state `Live`.
+pub fn vm(process: &Process, role: proto::VmRole, service: &str) -> proto::Vm {
     proto::Vm {
-        addr: proc_.addr,
-        zone: proc_.zone.as_str().into(),
+        addr: process.addr,
+        zone: process.zone.as_str().into(),
         role,
         service: service.into(),
         state: proto::VmState::Live,
-        id: format!("vm-{}", proc_.child.id()).into(),
+        id: format!("vm-{}", process.child.id()).into(),
     }
 }
 
-/// Starts `bin` and reads the `listening on ADDR` line it prints first.
-fn spawn(bins: &Path, dir: &Path, bin: &str, args: &[&str], zone: &str, name: &str) -> Proc {
-    let log = std::fs::File::create(dir.join(format!("{name}.log"))).expect("log file");
-    let mut child = Command::new(bins.join(bin))
+/// Starts `bin` and reads its address from the `listening on ADDR` line that it prints first.
+///
+/// Its standard error goes to the log file `name`.log.
+fn spawn(
+    bin_dir: &Path,
+    work_dir: &Path,
+    bin: &str,
+    args: &[&str],
+    zone: &str,
+    name: &str,
+) -> Process {
+    let log =
+        std::fs::File::create(work_dir.join(format!("{name}.log"))).expect("log file created");
+    let mut child = Command::new(bin_dir.join(bin))
         .args(args)
         .stdout(Stdio::piped())
         .stderr(log)
@@ -340,13 +385,15 @@
     let addr = line
         .trim()
         .strip_prefix("listening on ")
-        .and_then(|a| a.parse().ok())
-        .unwrap_or_else(|| panic!("{name} did not say where it listens: {line:?}"));
-    Proc { addr, zone: zone.to_owned(), child }
+        .and_then(|addr| addr.parse().ok())
+        .unwrap_or_else(|| panic!("{name} did not print its listening address: {line:?}"));
+    Process { addr, zone: zone.to_owned(), child }
 }
 
-/// Sends one request on a fresh connection from a throwaway runtime.
-pub fn call(
+/// Sends a request over a new connection, on a runtime of its own.
+///
+/// Returns `None` when there is no response within 5 s.
+pub fn send_request(
     addr: SocketAddr,
     method: http::Method,
     path: &str,
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,18 +1,18 @@
 //! `cargo xtask`: development tasks.
 //!
-//! - `cargo xtask demo`: builds the release binaries, starts the platform
-//!   stand-in, upstream stand-ins and entry nodes as separate processes on
-//!   loopback, drives load through them, applies a config change mid-run and
-//!   prints the figures and the audit trail.
-//! - `cargo xtask patterns`: load patterns in virtual time, decision by decision.
-//! - `cargo xtask policy`, `noisy`, `slopes`: the measurements of docs/bench.
+//! - `cargo xtask demo`: builds the release binaries, starts the platform stand-in, upstream
+//!   stand-ins and entry nodes as separate processes on loopback, sends load through them, applies a
+//!   config change and drains an upstream meanwhile, and prints the load report and the audit log.
+//! - `cargo xtask patterns`: simulates load patterns in virtual time, with and without each placement
+//!   and admission rule.
+//! - `cargo xtask policy`, `noisy`, `slopes`: the measurements in docs/bench.
 
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::Duration;
 
 use bpaf::Bpaf;
-use xtask::cluster::{Cluster, Spec};
+use xtask::cluster::{Cluster, ClusterSpec};
 
 mod patterns;
 mod policy;
@@ -22,47 +22,47 @@
 #[derive(Bpaf, Debug)]
 #[bpaf(options)]
 enum Task {
-    /// Runs the whole path on loopback and prints its figures
+    /// Starts a whole deployment on loopback, sends load through it and prints the results
     #[bpaf(command("demo"))]
     Demo {
         /// Calls per second
         #[bpaf(long("rate"), argument("PER_S"), fallback(2_000))]
         rate: u64,
-        /// Length of the load, in seconds
+        /// Duration of the load, in seconds
         #[bpaf(long("duration-s"), argument("S"), fallback(6))]
         duration_s: u64,
-        /// Write the load report as JSON here
+        /// File to write the load report to, as JSON
         #[bpaf(long("json"), argument("FILE"), optional)]
         json: Option<PathBuf>,
     },
-    /// Measures tail latency by way of picking upstreams, for both users' sizes of today
+    /// Measures tail latency by balancing policy, for deployments of the users' current sizes
     #[bpaf(command("policy"))]
     Policy {
-        /// Write the figures here
+        /// File to write the figures to, as JSON
         #[bpaf(long("json"), argument("FILE"), fallback("docs/bench/policy.json".into()))]
         json: PathBuf,
-        /// Only this user: sporofilo or sonar-bangla
+        /// Measure the deployment of this user only: sporofilo or sonar-bangla
         #[bpaf(long("user"), argument("NAME"), optional)]
         user: Option<String>,
     },
-    /// Measures a quiet team beside a bursting one
+    /// Measures the latency of a quiet team while another team sends a burst
     #[bpaf(command("noisy"))]
     Noisy {
-        /// Directory of the binaries to measure instead of this tree's
+        /// Directory of the binaries to measure, instead of those built from this tree
         #[bpaf(long("bins"), argument("DIR"), optional)]
-        bins: Option<PathBuf>,
+        bin_dir: Option<PathBuf>,
     },
-    /// Replays load patterns in virtual time, with and without each decision
+    /// Simulates load patterns in virtual time, with and without each placement and admission rule
     #[bpaf(command("patterns"))]
     Patterns {
-        /// Seeds of each pattern
+        /// Number of seeds per load pattern
         #[bpaf(long("seeds"), argument("N"), fallback(10))]
         seeds: u64,
     },
-    /// Measures the per-unit costs docs/CAPACITY.md is worked from
+    /// Measures the per-unit costs from which docs/CAPACITY.md is calculated
     #[bpaf(command("slopes"))]
     Slopes {
-        /// Write the figures here
+        /// File to write the figures to, as JSON
         #[bpaf(long("json"), argument("FILE"), fallback("docs/bench/slopes.json".into()))]
         json: PathBuf,
     },
@@ -95,14 +95,14 @@
         Task::Policy { json, user } => {
             let root = workspace_root();
             build_release(&root);
-            let (bins, dir) = (root.join("target/release"), root.join("target/policy"));
-            policy::run(&bins, &dir, &root.join(json), user.as_deref());
+            let (bin_dir, work_dir) = (root.join("target/release"), root.join("target/policy"));
+            policy::run(&bin_dir, &work_dir, &root.join(json), user.as_deref());
         }
-        Task::Noisy { bins } => {
+        Task::Noisy { bin_dir } => {
             let root = workspace_root();
             build_release(&root);
-            let bins = bins.unwrap_or_else(|| root.join("target/release"));
-            policy::noisy(&bins, &root.join("target/noisy"));
+            let bin_dir = bin_dir.unwrap_or_else(|| root.join("target/release"));
+            policy::measure_noisy_team(&bin_dir, &root.join("target/noisy"));
         }
         Task::Slopes { json } => {
             let root = workspace_root();
@@ -132,9 +132,9 @@
 fn demo(rate: u64, duration_s: u64, json: Option<PathBuf>) {
     let root = workspace_root();
     build_release(&root);
-    let bins = root.join("target/release");
-    let dir = root.join("target/demo");
-    let spec = Spec {
+    let bin_dir = root.join("target/release");
+    let work_dir = root.join("target/demo");
+    let spec = ClusterSpec {
         service: "swap-desk".into(),
         zones: vec!["attiki-a".into(), "attiki-b".into(), "attiki-c".into()],
         upstreams_per_zone: 7,
@@ -148,16 +148,16 @@
         spec.zones.len() * spec.upstreams_per_zone,
         spec.entries
     );
-    let cluster = Cluster::start(&bins, &dir, &spec);
-    let applied = cluster.apply("swap-desk-v1.yaml", TEMPLATE_V1);
+    let cluster = Cluster::start(&bin_dir, &work_dir, &spec);
+    let applied = cluster.apply_template("swap-desk-v1.yaml", TEMPLATE_V1);
     print!("oatcove template apply v1: {}", String::from_utf8_lossy(&applied.stdout));
-    let v1 = cluster
+    let v1_propagation = cluster
         .wait_for_version("swap-desk", 1, Duration::from_secs(10))
-        .expect("v1 reaches every entry");
-    println!("v1 in force on every entry node after {:.0} ms", v1.as_secs_f64() * 1e3);
+        .expect("v1 reaches every entry node");
+    println!("v1 in force on every entry node after {:.0} ms", v1_propagation.as_secs_f64() * 1e3);
 
-    let json_path = json.unwrap_or_else(|| dir.join("load.json"));
-    let mut load = Command::new(bins.join("oatcove-load"));
+    let json_path = json.unwrap_or_else(|| work_dir.join("load.json"));
+    let mut load = Command::new(bin_dir.join("oatcove-load"));
     load.args([
         "--entry",
         &cluster.entries[0].addr.to_string(),
@@ -178,9 +178,9 @@
     for addr in cluster.upstream_addrs() {
         load.args(["--upstream", &addr.to_string()]);
     }
-    let load = load.stdout(std::process::Stdio::piped()).spawn().expect("load starts");
+    let load = load.stdout(std::process::Stdio::piped()).spawn().expect("load tool starts");
     std::thread::sleep(Duration::from_secs(duration_s) / 2);
-    let applied = cluster.apply("swap-desk-v2.yaml", TEMPLATE_V2);
+    let applied = cluster.apply_template("swap-desk-v2.yaml", TEMPLATE_V2);
     let text = String::from_utf8_lossy(&applied.stdout).into_owned();
     print!("oatcove template apply v2 during load: {text}");
     let version: u64 = text
@@ -189,23 +189,28 @@
         .and_then(|v| v.trim_end_matches(',').parse().ok())
         .unwrap_or(2);
     match cluster.wait_for_version("swap-desk", version, Duration::from_secs(10)) {
-        Some(took) => {
-            println!("v2 in force on every entry node after {:.0} ms", took.as_secs_f64() * 1e3)
+        Some(propagation) => {
+            println!(
+                "v2 in force on every entry node after {:.0} ms",
+                propagation.as_secs_f64() * 1e3
+            )
         }
         None => println!("v2 NOT in force on every entry node after 10 s"),
     }
-    let output = cluster.drain(cluster.upstreams[0].addr);
+    let output = cluster.drain_upstream(cluster.upstreams[0].addr);
     print!(
         "oatcove upstream drain --wait during load: {}",
         String::from_utf8_lossy(&output.stdout)
     );
-    let output = load.wait_with_output().expect("load finishes");
+    let output = load.wait_with_output().expect("load tool exits");
     assert!(output.status.success(), "load tool failed");
     let platform = cluster.platform.addr.to_string();
     println!("oatcove audit log:");
     print!(
         "{}",
-        String::from_utf8_lossy(&cluster.cli(&["audit", "log", "--platform", &platform]).stdout)
+        String::from_utf8_lossy(
+            &cluster.run_cli(&["audit", "log", "--platform", &platform]).stdout
+        )
     );
     println!("load report (also in {}):", json_path.display());
     print!("{}", String::from_utf8_lossy(&output.stdout));
--- a/xtask/src/policy.rs
+++ b/xtask/src/policy.rs
@@ -1,26 +1,27 @@
-//! `cargo xtask policy`: tail latency by way of picking upstreams, on the same stand-ins.
+//! `cargo xtask policy`: tail latency of each balancing policy.
 //!
-//! For each user's sizes of today, each way of picking runs against the same
-//! processes, one after the other within one run: at rest, beside a straggler
-//! and beside an upstream that fails fast. Figures of different runs are not
-//! comparable; these machines are noisy.
+//! For a deployment of each user's current size, the policies are measured one after the other
+//! against the same processes: with all upstreams healthy, with a straggler, and with an upstream
+//! that fails fast. Figures of different runs are not comparable, because the machines are noisy.
+//!
+//! `cargo xtask noisy`: latency of a quiet team while another team overloads the upstreams.
 
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
 use serde_json::{json, Value};
-use xtask::cluster::{Cluster, Spec};
+use xtask::cluster::{Cluster, ClusterSpec};
 
-/// Length of one measurement, in seconds.
-const RUN_S: u64 = 8;
+/// Duration of one measurement, in seconds.
+const MEASUREMENT_S: u64 = 8;
 
-/// Time between a change of the stand-ins and the measurement.
-const SETTLE: Duration = Duration::from_millis(1_500);
+/// Delay between a change to the cluster and the measurement, in which the change takes effect.
+const SETTLING_TIME: Duration = Duration::from_millis(1_500);
 
-/// Sizes of one user's deployment today, with service times and load.
-struct User {
-    name: &'static str,
+/// Current size of a user's deployment, with its service times and load.
+struct Deployment {
+    user: &'static str,
     service: &'static str,
     zones: &'static [&'static str],
     upstreams_per_zone: usize,
@@ -29,13 +30,13 @@
     light_ms: u64,
     heavy_ms: u64,
     heavy_percent: u64,
-    /// About 60% of what the slots can serve.
+    /// About 60% of the capacity of the upstreams' slots.
     rate_per_s: u64,
 }
 
-const USERS: [User; 2] = [
-    User {
-        name: "sporofilo",
+const DEPLOYMENTS: [Deployment; 2] = [
+    Deployment {
+        user: "sporofilo",
         service: "swap-desk",
         zones: &["attiki-a", "attiki-b", "attiki-c"],
         upstreams_per_zone: 7,
@@ -46,8 +47,8 @@
         heavy_percent: 10,
         rate_per_s: 1_150,
     },
-    User {
-        name: "sonar-bangla",
+    Deployment {
+        user: "sonar-bangla",
         service: "liveboard",
         zones: &["salt-lake", "howrah", "garia", "dum-dum"],
         upstreams_per_zone: 4,
@@ -60,98 +61,110 @@
     },
 ];
 
-/// Ways of picking, as template parameters.
-const WAYS: [(&str, &str); 4] = [
+/// Balancing policies measured: label, and template parameters.
+const POLICIES: [(&str, &str); 4] = [
     ("round robin", "balance: round_robin, hedge: false"),
     ("least outstanding", "balance: least_outstanding, hedge: false"),
     ("adaptive", "balance: adaptive, hedge: false"),
     ("adaptive, hedged", "balance: adaptive, hedge: true"),
 ];
 
-const AT_REST: &str = "{}";
+const HEALTHY_MODE: &str = "{}";
 
-/// States of upstream 0 measured.
+/// Scenarios measured: label, and mode of upstream 0.
 const SCENARIOS: [(&str, &str); 3] = [
-    ("at rest", AT_REST),
+    ("at rest", HEALTHY_MODE),
     ("one straggler, 8 times slower", r#"{"straggle_factor": 8}"#),
     ("one upstream failing fast", r#"{"fail_fast": true}"#),
 ];
 
-fn start(user: &User, bins: &Path, dir: &Path) -> Cluster {
-    let spec = Spec {
-        service: user.service.into(),
-        zones: user.zones.iter().map(|z| (*z).to_owned()).collect(),
-        upstreams_per_zone: user.upstreams_per_zone,
-        entries: user.entries,
-        slots: user.slots,
-        light_ms: user.light_ms,
-        heavy_ms: user.heavy_ms,
+fn start(deployment: &Deployment, bin_dir: &Path, work_dir: &Path) -> Cluster {
+    let spec = ClusterSpec {
+        service: deployment.service.into(),
+        zones: deployment.zones.iter().map(|z| (*z).to_owned()).collect(),
+        upstreams_per_zone: deployment.upstreams_per_zone,
+        entries: deployment.entries,
+        slots: deployment.slots,
+        light_ms: deployment.light_ms,
+        heavy_ms: deployment.heavy_ms,
     };
-    Cluster::start(bins, &dir.join(user.name), &spec)
+    Cluster::start(bin_dir, &work_dir.join(deployment.user), &spec)
 }
 
-fn put_template(cluster: &Cluster, user: &User, text: &str) {
-    let applied = cluster.apply("template.yaml", text);
+/// Applies a template and waits until it is in force on every entry node.
+fn apply_template(cluster: &Cluster, deployment: &Deployment, text: &str) {
+    let applied = cluster.apply_template("template.yaml", text);
     assert!(applied.status.success(), "{}", String::from_utf8_lossy(&applied.stderr));
-    let said = String::from_utf8_lossy(&applied.stdout).into_owned();
-    let version = said.split_whitespace().nth(2).and_then(|v| v.trim_end_matches(',').parse().ok());
+    let output = String::from_utf8_lossy(&applied.stdout).into_owned();
+    let version =
+        output.split_whitespace().nth(2).and_then(|v| v.trim_end_matches(',').parse().ok());
     if let Some(version) = version {
-        let limit = Duration::from_secs(10);
-        cluster.wait_for_version(user.service, version, limit).expect("template in force");
+        let timeout = Duration::from_secs(10);
+        cluster.wait_for_version(deployment.service, version, timeout).expect("template in force");
     }
 }
 
-/// A load run's arguments that differ between scenarios.
-struct Offered<'a> {
+/// Arguments of the load tool that differ between measurements.
+struct LoadSpec<'a> {
     name: &'a str,
     team: Option<&'a str>,
     rate_per_s: u64,
     heavy_percent: u64,
 }
 
+/// Starts the load tool against entry node 0; returns the process and the path of its report.
 fn spawn_load(
     cluster: &Cluster,
-    user: &User,
-    offered: &Offered<'_>,
+    deployment: &Deployment,
+    load_spec: &LoadSpec<'_>,
 ) -> (Child, std::path::PathBuf) {
-    let json = cluster.dir.join(format!("load-{}.json", offered.name));
-    let mut load = Command::new(cluster.bins.join("oatcove-load"));
-    load.args(["--entry", &cluster.entries[0].addr.to_string(), "--service", user.service])
-        .args(["--rate", &offered.rate_per_s.to_string(), "--duration-s", &RUN_S.to_string()])
-        .args(["--heavy-percent", &offered.heavy_percent.to_string()])
+    let json = cluster.work_dir.join(format!("load-{}.json", load_spec.name));
+    let mut load = Command::new(cluster.bin_dir.join("oatcove-load"));
+    load.args(["--entry", &cluster.entries[0].addr.to_string(), "--service", deployment.service])
+        .args([
+            "--rate",
+            &load_spec.rate_per_s.to_string(),
+            "--duration-s",
+            &MEASUREMENT_S.to_string(),
+        ])
+        .args(["--heavy-percent", &load_spec.heavy_percent.to_string()])
         .args(["--json", &json.to_string_lossy()])
         .stdout(Stdio::null());
-    if let Some(team) = offered.team {
+    if let Some(team) = load_spec.team {
         load.args(["--team", team]);
     }
-    for zone in user.zones {
+    for zone in deployment.zones {
         load.args(["--zone", zone]);
     }
     for addr in cluster.upstream_addrs() {
         load.args(["--upstream", &addr.to_string()]);
     }
-    (load.spawn().expect("load starts"), json)
+    (load.spawn().expect("load tool starts"), json)
 }
 
-fn finish((mut child, json): (Child, std::path::PathBuf)) -> Value {
-    assert!(child.wait().expect("load ends").success(), "load tool failed");
-    serde_json::from_slice(&std::fs::read(json).expect("report")).expect("json")
+/// Waits for the load tool to exit and reads its report.
+fn wait_for_report((mut child, json): (Child, std::path::PathBuf)) -> Value {
+    assert!(child.wait().expect("load tool exits").success(), "load tool failed");
+    serde_json::from_slice(&std::fs::read(json).expect("report is readable"))
+        .expect("report is JSON")
 }
 
-/// Sums the second sends of all entry nodes so far, hedges included.
+/// Returns the number of second sends of all entry nodes since they started, hedges included.
 fn second_sends(cluster: &Cluster) -> u64 {
-    let retries = |index| cluster.ask_entry(index, "/v1/status")["counters"]["retries"].as_u64();
+    let retries =
+        |index| cluster.get_entry_json(index, "/v1/status")["counters"]["retries"].as_u64();
     (0..cluster.entries.len()).filter_map(retries).sum()
 }
 
-fn line(what: &str, way: &str, report: &Value) -> String {
+/// Returns the table row of a load report; `subject` is the policy or the team measured.
+fn table_row(scenario: &str, subject: &str, report: &Value) -> String {
     let ms = |class: &str, quantile: &str| {
         report[class][quantile].as_u64().map_or(f64::NAN, |us| us as f64 / 1e3)
     };
     let errors: u64 =
         report["errors"].as_object().into_iter().flatten().filter_map(|(_, n)| n.as_u64()).sum();
     format!(
-        "| {what} | {way} | {:.0} | {:.0} | {:.0} | {:.0} | {errors} of {} | {} | {:.2}% |",
+        "| {scenario} | {subject} | {:.0} | {:.0} | {:.0} | {:.0} | {errors} of {} | {} | {:.2}% |",
         ms("light", "p50_us"),
         ms("light", "p99_us"),
         ms("light", "p999_us"),
@@ -162,66 +175,73 @@
     )
 }
 
-/// Runs every way and scenario for both users and writes the figures to `out` as JSON.
+/// Measures each policy in each scenario for each user and writes the figures to the file `out`, as
+/// JSON.
 ///
-/// With `only`, just the user of that name.
-pub fn run(bins: &Path, dir: &Path, out: &Path, only: Option<&str>) {
+/// With `only`, measures the user of that name alone.
+pub fn run(bin_dir: &Path, work_dir: &Path, out: &Path, only: Option<&str>) {
     let mut figures = Vec::new();
-    for user in USERS.iter().filter(|user| only.is_none_or(|name| name == user.name)) {
-        let cluster = start(user, bins, dir);
-        println!("\n{}: {} calls/s, {}% heavy", user.name, user.rate_per_s, user.heavy_percent);
+    for deployment in
+        DEPLOYMENTS.iter().filter(|deployment| only.is_none_or(|name| name == deployment.user))
+    {
+        let cluster = start(deployment, bin_dir, work_dir);
+        println!(
+            "\n{}: {} calls/s, {}% heavy",
+            deployment.user, deployment.rate_per_s, deployment.heavy_percent
+        );
         println!(
             "| scenario | way | light p50 ms | p99 | p99.9 | heavy p99 | errors | second sends | probe cost |"
         );
         println!("|---|---|---|---|---|---|---|---|---|");
         for (scenario, mode) in SCENARIOS {
-            let mode: Value = serde_json::from_str(mode).expect("mode");
+            let mode: Value = serde_json::from_str(mode).expect("mode is JSON");
             cluster.set_upstream_mode(0, &mode);
-            for (way, params) in WAYS {
+            for (policy, params) in POLICIES {
                 let text = format!(
                     "service: {}\ndefaults: {{timeout_ms: 5000, probe_budget_per_s: 10, {params}}}\n",
-                    user.service
+                    deployment.service
                 );
-                put_template(&cluster, user, &text);
-                std::thread::sleep(SETTLE);
-                let offered = Offered {
+                apply_template(&cluster, deployment, &text);
+                std::thread::sleep(SETTLING_TIME);
+                let load_spec = LoadSpec {
                     name: "mixed",
                     team: None,
-                    rate_per_s: user.rate_per_s,
-                    heavy_percent: user.heavy_percent,
+                    rate_per_s: deployment.rate_per_s,
+                    heavy_percent: deployment.heavy_percent,
                 };
                 let before = second_sends(&cluster);
-                let mut report = finish(spawn_load(&cluster, user, &offered));
+                let mut report = wait_for_report(spawn_load(&cluster, deployment, &load_spec));
                 report["second_sends"] = (second_sends(&cluster) - before).into();
-                println!("{}", line(scenario, way, &report));
+                println!("{}", table_row(scenario, policy, &report));
                 figures.push(
-                    json!({"user": user.name, "scenario": scenario, "way": way, "report": report}),
+                    json!({"user": deployment.user, "scenario": scenario, "way": policy, "report": report}),
                 );
             }
         }
     }
-    std::fs::write(out, serde_json::to_string_pretty(&figures).expect("json"))
+    std::fs::write(out, serde_json::to_string_pretty(&figures).expect("figures encode"))
         .expect("figures written");
     println!("figures written to {}", out.display());
 }
 
-/// Measures a quiet team beside a team that sends heavy reads at 1.5 times what the slots can serve.
+/// Measures a quiet team while another team sends heavy reads at 1.5 times the capacity of the slots.
 ///
-/// With template keys that every version knows, so that an earlier `oatcoved` can be measured too.
-pub fn noisy(bins: &Path, dir: &Path) {
-    for user in &USERS {
-        let cluster = start(user, bins, dir);
+/// The template has only keys that every version knows, so that an earlier `oatcoved` can be measured
+/// too.
+pub fn measure_noisy_team(bin_dir: &Path, work_dir: &Path) {
+    for deployment in &DEPLOYMENTS {
+        let cluster = start(deployment, bin_dir, work_dir);
         let template = format!(
             "service: {}\ndefaults: {{timeout_ms: 2000}}\nteams: {{quiet: {{}}, noisy: {{}}}}\n",
-            user.service
+            deployment.service
         );
-        put_template(&cluster, user, &template);
-        std::thread::sleep(SETTLE);
-        let slots = (user.slots * cluster.upstreams.len()) as u64;
-        let noisy_rate = slots * 1_000 * 3 / 2 / user.heavy_ms;
+        apply_template(&cluster, deployment, &template);
+        std::thread::sleep(SETTLING_TIME);
+        let slots = (deployment.slots * cluster.upstreams.len()) as u64;
+        let noisy_rate = slots * 1_000 * 3 / 2 / deployment.heavy_ms;
         let quiet =
-            Offered { name: "quiet", team: Some("quiet"), rate_per_s: 100, heavy_percent: 0 };
-        let noisy = Offered {
+            LoadSpec { name: "quiet", team: Some("quiet"), rate_per_s: 100, heavy_percent: 0 };
+        let noisy = LoadSpec {
             name: "noisy",
             team: Some("noisy"),
             rate_per_s: noisy_rate,
@@ -229,16 +249,19 @@
         };
         println!(
             "\n{}: quiet team 100 light calls/s, noisy team {noisy_rate} heavy reads/s",
-            user.name
+            deployment.user
         );
         println!(
             "| scenario | team | light p50 ms | p99 | p99.9 | heavy p99 | errors | second sends | probe cost |"
         );
         println!("|---|---|---|---|---|---|---|---|---|");
-        println!("{}", line("alone", "quiet", &finish(spawn_load(&cluster, user, &quiet))));
-        let burst = spawn_load(&cluster, user, &noisy);
-        let beside = finish(spawn_load(&cluster, user, &quiet));
-        println!("{}", line("beside the burst", "quiet", &beside));
-        println!("{}", line("the burst", "noisy", &finish(burst)));
+        println!(
+            "{}",
+            table_row("alone", "quiet", &wait_for_report(spawn_load(&cluster, deployment, &quiet)))
+        );
+        let burst = spawn_load(&cluster, deployment, &noisy);
+        let during_burst = wait_for_report(spawn_load(&cluster, deployment, &quiet));
+        println!("{}", table_row("beside the burst", "quiet", &during_burst));
+        println!("{}", table_row("the burst", "noisy", &wait_for_report(burst)));
     }
 }
