--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -155,18 +155,18 @@
     let mut cursor: Option<Cursor> = None;
     let mut failures = 0;
     loop {
-        if !node.state.borrow().direct {
+        if !node.state.borrow().reads_directly {
             // What a peer kept through an outage is not told again by the platform's history:
             // reading the platform again begins with everything.
             (cursor, failures) = (None, 0);
-            let holds_all = node.state.borrow().is_in_step();
+            let holds_all = node.state.borrow().has_read_all_topics();
             monoio::time::sleep(if holds_all { LOOK } else { LOOK_AT_START }).await;
             continue;
         }
         if cursor.is_none() && topic == Topic::Config {
             until_list_is_read(&node).await;
         }
-        let (asked_at, bound) = (Instant::now(), node.state.borrow().bound(topic));
+        let (asked_at, bound) = (Instant::now(), node.state.borrow().staleness_bound(topic));
         let waits = cursor.is_some() && failures == 0;
         let read = match cursor {
             None => source.snapshot(topic).await,
@@ -195,7 +195,7 @@
                     true => bound.as_of(asked_at, Instant::now(), batch.events.is_empty()),
                     false => asked_at,
                 };
-                node.state.borrow_mut().seen_mut(topic).lease.renew(as_of);
+                node.state.borrow_mut().progress_mut(topic).lease.renew(as_of);
                 // Seen before it is applied: what is passed on to subscribers says up to where.
                 let batch = without_older_words(&node, topic, batch);
                 if seen(&node, topic, batch.cursor, batch.newest) {
@@ -253,7 +253,7 @@
 
 /// Refuses an answer that was on its way when the platform went back.
 fn in_order(node: &Node, topic: Topic, batch: Batch) -> Result<Batch, SourceError> {
-    let seen = *node.state.borrow_mut().seen_mut(topic);
+    let seen = *node.state.borrow_mut().progress_mut(topic);
     match history::era(batch.cursor) < history::era(seen.up_to) {
         true => Err(SourceError::HistoryGone),
         false => Ok(batch),
@@ -264,7 +264,7 @@
 /// as of some seconds ago, and would have requests sent to a zone that was evacuated since. What changed
 /// after that read is told by the next one.
 fn without_older_words(node: &Node, topic: Topic, mut batch: Batch) -> Batch {
-    let seen = *node.state.borrow_mut().seen_mut(topic);
+    let seen = *node.state.borrow_mut().progress_mut(topic);
     let is_of_this_era = history::era(batch.cursor) == history::era(seen.up_to);
     if topic == Topic::Config && is_of_this_era && batch.cursor < seen.newest {
         batch.events.retain(|event| !matches!(event, Event::Evacuation { .. }));
@@ -313,14 +313,17 @@
             true => SETTLE,
             false => SETTLE_BESIDE_READER,
         };
-        let is_sure = state.is_sure(topic, Instant::now());
-        state.direct && is_sure && !node.subscribers.are_waiting() && since.elapsed() < longest
+        let is_sure = state.is_fresh(topic, Instant::now());
+        state.reads_directly
+            && is_sure
+            && !node.subscribers.are_waiting()
+            && since.elapsed() < longest
     };
     wait_while(LOOK, may_wait).await;
 }
 
 async fn until_indirect(node: &Node) {
-    wait_while(LOOK, || node.state.borrow().direct).await;
+    wait_while(LOOK, || node.state.borrow().reads_directly).await;
 }
 
 /// Waits while something holds, and looks again each `look`.
@@ -339,8 +342,8 @@
 async fn until_list_is_read(node: &Node) {
     let may_wait = || {
         let state = node.state.borrow();
-        let serves = state.direct && state.is_in_step();
-        serves && !state.list_is_own && state.is_sure(Topic::Config, Instant::now())
+        let serves = state.reads_directly && state.has_read_all_topics();
+        serves && !state.list_from_platform && state.is_fresh(Topic::Config, Instant::now())
     };
     wait_while(LOOK_AT_START, may_wait).await;
 }
@@ -378,14 +381,14 @@
 /// since.
 fn seen(node: &Node, topic: Topic, up_to: Cursor, newest: Cursor) -> bool {
     let state = &mut *node.state.borrow_mut();
-    let seen = state.seen_mut(topic);
+    let seen = state.progress_mut(topic);
     let (era, before) = (history::era(up_to), history::era(seen.up_to));
-    let went_back = seen.read && era > before;
-    seen.read = true;
+    let went_back = seen.has_read && era > before;
+    seen.has_read = true;
     seen.up_to = seen.up_to.max(up_to);
     seen.newest = seen.newest.max(newest);
     if went_back {
-        state.times_gone_back += 1;
+        state.store_rollbacks += 1;
         trace::Line::new("store_went_back")
             .field("topic", topic.name())
             .field("era", era)
@@ -414,7 +417,7 @@
 
 /// Lets subscribers go: they may be answered where this node is not.
 fn let_go(node: &Node, topic: Topic, asked_at: Instant) {
-    let bound = node.state.borrow().bound(topic);
+    let bound = node.state.borrow().staleness_bound(topic);
     node.subscribers.drop_all(asked_at.elapsed() > bound.long_poll_timeout());
 }
 
@@ -422,7 +425,7 @@
     if topic == Topic::Upstreams {
         let state = &mut *node.state.borrow_mut();
         state.roster.store_answered(Instant::now());
-        state.list_is_own = true;
+        state.list_from_platform = true;
     }
     if failures > 0 {
         trace::Line::new("store_regained")
--- a/crates/edge/src/follow/apply.rs
+++ b/crates/edge/src/follow/apply.rs
@@ -29,7 +29,7 @@
         }
         relay::Frame::Evacuated { up_to, newest, zones } => {
             seen(node, Topic::Config, up_to, newest);
-            change_evacuations(node, |evacuations| evacuations.adopt_snapshot(zones));
+            update_evacuations(node, |evacuations| evacuations.adopt_snapshot(zones));
         }
         relay::Frame::Read { up_to, newest } => {
             seen(node, Topic::Upstreams, up_to, newest);
@@ -75,7 +75,7 @@
 }
 
 fn apply_evacuations(node: &Node, changes: Vec<(place::Zone, bool)>, whole: bool) {
-    change_evacuations(node, |evacuations| match whole {
+    update_evacuations(node, |evacuations| match whole {
         true => {
             let is_listed = |(zone, listed): (place::Zone, bool)| listed.then_some(zone);
             evacuations.apply_snapshot(changes.into_iter().filter_map(is_listed).collect());
@@ -88,13 +88,13 @@
 
 /// Takes which availability zones are evacuated. Subscribers are told also where nothing changed: those
 /// that do not hear how far this node has read take themselves to be behind it.
-fn change_evacuations(node: &Node, change: impl FnOnce(&mut place::Evacuations)) {
-    let news = node.state.borrow_mut().change_evacuations(change);
+fn update_evacuations(node: &Node, change: impl FnOnce(&mut place::Evacuations)) {
+    let news = node.state.borrow_mut().update_evacuations(change);
     node.subscribers.tell(&relay::Frame::evacuated(&node.state.borrow()));
     for (zone, is_evacuated) in news {
         trace::Line::new(if is_evacuated { "zone_evacuated" } else { "zone_restored" })
             .field("zone", zone.as_str())
-            .field("up_to", node.state.borrow().config_seen.up_to)
+            .field("up_to", node.state.borrow().config_progress.up_to)
             .log();
     }
 }
@@ -178,7 +178,7 @@
     if listed.len() > LISTED_ONE_BY_ONE {
         trace::Line::new("upstreams_listed")
             .field("count", listed.len())
-            .field("up_to", node.state.borrow().list_seen.up_to)
+            .field("up_to", node.state.borrow().list_progress.up_to)
             .log();
         return;
     }
@@ -197,7 +197,7 @@
 pub fn expire(node: &Node, now: Instant) {
     let is_due = node.state.borrow().evacuations.is_due(now);
     if is_due {
-        change_evacuations(node, |evacuations| evacuations.expire(now));
+        update_evacuations(node, |evacuations| evacuations.expire(now));
     }
     let changes = node.state.borrow_mut().roster.expire(now);
     if !changes.is_empty() {
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -38,8 +38,8 @@
 use crate::metrics::Metrics;
 use crate::probe;
 use crate::relay;
-use crate::reply::Own;
-use crate::state::Shared;
+use crate::reply::LocalReply;
+use crate::state::SharedState;
 
 /// A connection that rested for less than this is taken to be known to its upstream still. Some
 /// forget connections after 0.3 s; a request between zones is on its way for 2 ms.
@@ -71,7 +71,7 @@
 /// The entry node's request path.
 pub struct Node {
     /// What the node believes.
-    pub state: Shared,
+    pub state: SharedState,
     /// Connections to upstreams.
     pub conns: Conns,
     /// Peers that read the platform through this node.
@@ -128,12 +128,12 @@
     /// An upstream's answer.
     Upstream(Answer),
     /// The node's own.
-    Own(Own),
+    Own(LocalReply),
 }
 
 impl Node {
     /// Creates the request path over `state`, measured by `metrics`.
-    pub fn new(state: Shared, metrics: Metrics) -> Node {
+    pub fn new(state: SharedState, metrics: Metrics) -> Node {
         Node {
             metrics,
             state,
@@ -209,7 +209,7 @@
     /// Takes what an upstream's answer says of its load.
     pub fn take_load(&self, service: &ServiceName, upstream: &Incarnation, headers: &HeaderMap) {
         let mut state = self.state.borrow_mut();
-        let read = state.settings.read_load;
+        let read = state.settings.parse_load;
         let value = headers.get(&state.settings.headers.load);
         let load = value.and_then(|value| value.to_str().ok()).and_then(read);
         if let Some(pool) = state.pools.get_mut(service) {
@@ -253,7 +253,7 @@
         };
         let Some(table) = table else {
             trace::Line::new("no_config").field("request", id_of(head, &names)).log();
-            return Reply::Own(Own::not_run(COME_BACK_NOT_READY, "no configuration yet"));
+            return Reply::Own(LocalReply::not_run(COME_BACK_NOT_READY, "no configuration yet"));
         };
         let Some(route) = table.find(&head.host, head.path()) else {
             trace::Line::new("no_route")
@@ -262,25 +262,25 @@
                 .field("path", head.path())
                 .field("config", table.version)
                 .log();
-            return Reply::Own(Own::failed(StatusCode::NOT_FOUND, "no such route"));
+            return Reply::Own(LocalReply::failed(StatusCode::NOT_FOUND, "no such route"));
         };
         let mut ids = head.headers.get_all(&names.request_id).iter();
         let (Some(request_id), None) = (ids.next().cloned(), ids.next()) else {
             let text = "exactly one request id is required";
-            return Reply::Own(Own::failed(StatusCode::BAD_REQUEST, text));
+            return Reply::Own(LocalReply::failed(StatusCode::BAD_REQUEST, text));
         };
         let allowed = stated.map_or(route.timeout, |stated| stated.min(route.timeout));
         let deadline = arrived + allowed;
         let stopping = self.state.borrow().stopping;
-        if stopping.is_some_and(|stopping| stopping.is_too_late(deadline, arrived)) {
+        if stopping.is_some_and(|stopping| stopping.must_reject(deadline, arrived)) {
             trace::Line::new("refused")
                 .field("request", id_of(head, &names))
                 .field("reason", "stopping")
                 .log();
-            return Reply::Own(Own::not_run(COME_BACK_ELSEWHERE, "this node is stopping"));
+            return Reply::Own(LocalReply::not_run(COME_BACK_ELSEWHERE, "this node is stopping"));
         }
         let tried_for = stated.map_or(Duration::ZERO, |stated| {
-            self.state.borrow_mut().attempts.retrying_for(&route.name, stated)
+            self.state.borrow_mut().retry_detector.retrying_for(&route.name, stated)
         });
         let body_start = body.received().clone();
         let service = self.next_service(route);
@@ -309,10 +309,13 @@
             Err(_) => {
                 call.line("timed_out").log();
                 match call.sends.borrow().is_empty() {
-                    true => Reply::Own(Own::not_run(COME_BACK_ELSEWHERE, "not sent in time")),
-                    false => {
-                        Reply::Own(Own::failed(StatusCode::GATEWAY_TIMEOUT, "no answer in time"))
+                    true => {
+                        Reply::Own(LocalReply::not_run(COME_BACK_ELSEWHERE, "not sent in time"))
                     }
+                    false => Reply::Own(LocalReply::failed(
+                        StatusCode::GATEWAY_TIMEOUT,
+                        "no answer in time",
+                    )),
                 }
             }
         };
@@ -346,7 +349,7 @@
         let index = match route.targets.len() {
             1 => 0,
             _ => {
-                let turns = state.turns.entry(route.name.clone()).or_default();
+                let turns = state.round_robins.entry(route.name.clone()).or_default();
                 turns.next(&route.targets, &mut state.rng)
             }
         };
@@ -364,14 +367,14 @@
         }
         let outcome = match reply {
             Reply::Upstream(_) => "answered",
-            Reply::Own(own) if own.come_back.is_some() => "refused",
+            Reply::Own(own) if own.retry_after.is_some() => "refused",
             Reply::Own(_) => "failed",
         };
-        self.metrics.request(call.arrived.elapsed(), outcome);
+        self.metrics.record_request(call.arrived.elapsed(), outcome);
         let counters = &mut self.state.borrow_mut().counters;
         match reply {
             Reply::Upstream(_) => counters.answered += 1,
-            Reply::Own(own) if own.come_back.is_some() => counters.refused += 1,
+            Reply::Own(own) if own.retry_after.is_some() => counters.refused += 1,
             Reply::Own(_) => counters.failed += 1,
         }
     }
--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -156,7 +156,7 @@
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
         let pool = state.pools.get(&call.service);
-        let homes = state.settings.home_zones(&call.route.allowed_regions);
+        let homes = state.settings.allowed_zones(&call.route.allowed_regions);
         let may_serve = |u: &&place::Upstream| {
             let is_home = homes.as_ref().is_none_or(|homes| homes.contains(&u.zone));
             is_home && !state.evacuations.is_evacuated(&u.zone)
@@ -164,7 +164,7 @@
         let upstreams = pool.into_iter().flat_map(|pool| pool.upstreams()).filter(may_serve);
         let starts = upstreams.map(|u| start_of(&u.incarnation));
         let come_back =
-            state.notices.retry_after(starts, now).map_or(COME_BACK_NOT_READY, |left| {
+            state.backpressure.retry_after(starts, now).map_or(COME_BACK_NOT_READY, |left| {
                 let spread = 1.0 + COME_BACK_SPREAD * state.rng.random::<f64>();
                 left.mul_f64(spread).clamp(COME_BACK_LEAST, notice::MAX_RETRY_AFTER)
             });
@@ -176,14 +176,14 @@
         let now = Instant::now();
         state.deal_limits(now);
         let Some(pool) = state.pools.get(&call.service) else { return Vec::new() };
-        let homes = state.settings.home_zones(&call.route.allowed_regions);
+        let homes = state.settings.allowed_zones(&call.route.allowed_regions);
         let ask = place::SelectionCriteria {
             policy: state.settings.policy,
-            work: state.works.work(&call.route.name, call.route.objective),
+            work: state.work_estimates.work(&call.route.name, call.route.objective),
             objective_left: call.objective_left(),
             zone: &state.settings.zone,
             cross_zone_cost: state.settings.cross_zone_cost_per_kib
-                * state.works.size_kib(&call.route.name),
+                * state.work_estimates.size_kib(&call.route.name),
             allowed_zones: homes.as_ref(),
             warm_up: state.warm_up(&call.service, now),
             tried,
@@ -196,7 +196,7 @@
         let share = (most / state.fleet_size() as u32).max(CONNECTIONS_LEAST);
         let carries = state.first_sends_per_s(&call.service, now) * RESTS_FOR.as_secs_f64()
             / pool.compared_count() as f64;
-        let notices = &state.notices;
+        let notices = &state.backpressure;
         let may_send = |upstream: &Incarnation| {
             notices.is_empty() || notices.may_send(start_of(upstream), now)
         };
--- a/crates/edge/src/forward/ends.rs
+++ b/crates/edge/src/forward/ends.rs
@@ -29,8 +29,11 @@
     ) {
         let lost = LostRequest { content: call.content(), known, ran_ms: as_ms(took) };
         let start = start_of(&choice.upstream);
-        let has_ended =
-            self.state.borrow_mut().ends.record_lost_response(start, lost.clone(), Instant::now());
+        let has_ended = self.state.borrow_mut().crash_detector.record_lost_response(
+            start,
+            lost.clone(),
+            Instant::now(),
+        );
         if has_ended {
             return self.ended_under(&choice.upstream, &[lost]);
         }
@@ -68,7 +71,7 @@
         let lost = self
             .state
             .borrow_mut()
-            .ends
+            .crash_detector
             .record_refused_connection(start_of(upstream), Instant::now());
         if !lost.is_empty() {
             self.state.borrow_mut().counters.upstreams_ended += 1;
@@ -86,7 +89,7 @@
         let was_unplanned = {
             let state = self.state.borrow();
             let is_listed = |pool: &place::Pool| pool.position(upstream).is_some();
-            let said_so = state.notices.is_leaving(start_of(upstream), Instant::now());
+            let said_so = state.backpressure.is_leaving(start_of(upstream), Instant::now());
             !said_so && state.pools.values().any(is_listed)
         };
         if was_unplanned {
--- a/crates/edge/src/forward/held.rs
+++ b/crates/edge/src/forward/held.rs
@@ -8,12 +8,12 @@
 
 use super::call::{Call, NoChoice};
 use super::Node;
-use crate::state::Shared;
+use crate::state::SharedState;
 use crate::{gossip, record, start_of, unix_ms};
 
 /// A suspected request counted as under way at an upstream while this lives.
 pub(super) struct UnderWay {
-    state: Shared,
+    state: SharedState,
     content: ContentKey,
     start: Start,
 }
--- a/crates/edge/src/forward/notices.rs
+++ b/crates/edge/src/forward/notices.rs
@@ -29,7 +29,7 @@
             let state = &mut *self.state.borrow_mut();
             let stated = Signals::from_response(status, headers, &state.settings.headers.notices);
             stated.invalid_fields().for_each(|what| log_unreadable(upstream, what));
-            state.notices.apply_signals(start_of(upstream), &stated, asked_at, moment())
+            state.backpressure.apply_signals(start_of(upstream), &stated, asked_at, moment())
         };
         changes.iter().for_each(|change| log_change(upstream.id(), *change, "this node"));
         if changes.contains(&Change::Leaving) {
@@ -43,7 +43,7 @@
     /// Takes what a peer tells of an upstream.
     pub(crate) fn hear_peer_notice(&self, notice: &Notice) {
         let state = &mut *self.state.borrow_mut();
-        let Some(change) = state.notices.apply_notice(notice, moment()) else { return };
+        let Some(change) = state.backpressure.apply_notice(notice, moment()) else { return };
         let upstreams = state.pools.values().flat_map(|pool| pool.upstreams());
         let mut incarnations = upstreams.map(|upstream| &upstream.incarnation);
         let upstream = incarnations.find(|upstream| start_of(upstream) == notice.start);
@@ -58,7 +58,7 @@
     /// Deals out limits anew if that is due. A node that has just started knows few of the others, and
     /// sends to limited upstreams nothing.
     pub(crate) fn deal_limits(&mut self, now: Instant) {
-        if !self.notices.shares_outdated() || !readers::knows_peers(self, now) {
+        if !self.backpressure.shares_outdated() || !readers::knows_peers(self, now) {
             return;
         }
         let upstreams = self.pools.values().flat_map(|pool| pool.upstreams());
@@ -70,7 +70,7 @@
             others: peers.map(|(addr, peer)| (*addr, peer.zone.as_str())).collect(),
             zones,
         };
-        self.notices.update_shares(&fleet, now);
+        self.backpressure.update_shares(&fleet, now);
     }
 }
 
--- a/crates/edge/src/forward/send.rs
+++ b/crates/edge/src/forward/send.rs
@@ -41,7 +41,10 @@
             report_age_ms: choice.report_age.map(as_ms),
         });
         let counted = Outstanding::start(&self.state, &call.service, &choice.upstream);
-        self.state.borrow_mut().notices.record_send(start_of(&choice.upstream), Instant::now());
+        self.state
+            .borrow_mut()
+            .backpressure
+            .record_send(start_of(&choice.upstream), Instant::now());
         let (known, _under_way) = self.begin(call, &choice.upstream);
         let sent_at = Instant::now();
         let timeout = CONNECT_TIMEOUT.min(call.left());
@@ -60,7 +63,7 @@
                     .field("upstream", choice.upstream.id())
                     .field("error", err.to_string())
                     .log();
-                counted.end(RequestOutcome::Failed);
+                counted.finish(RequestOutcome::Failed);
                 return Outcome::NotSent;
             }
         };
@@ -88,7 +91,7 @@
             None => {}
         }
         self.learn(call, choice, &outcome, sent_at.elapsed());
-        counted.end(match &outcome {
+        counted.finish(match &outcome {
             Outcome::Answered(answer) if answer.head.status.is_server_error() => {
                 RequestOutcome::Failed
             }
@@ -150,7 +153,9 @@
     fn learn_work(&self, call: &Call<'_>, choice: &Choice, answer: &Answer, took: Duration) {
         let now = Instant::now();
         let state = &mut *self.state.borrow_mut();
-        state.works.record_size(&call.route.name, call.body_start.len() + answer.known_bytes());
+        state
+            .work_estimates
+            .record_size(&call.route.name, call.body_start.len() + answer.known_bytes());
         if !choice.unhindered {
             return;
         }
@@ -162,7 +167,7 @@
         if still_unhindered {
             let ratio = took.as_secs_f64() / choice.predicted.as_secs_f64().max(0.001);
             pool.record_latency_ratio(&choice.upstream, ratio, now);
-            state.works.record_work(&call.route.name, call.route.objective, took);
+            state.work_estimates.record_work(&call.route.name, call.route.objective, took);
         }
     }
 }
--- a/crates/edge/src/forward/sends.rs
+++ b/crates/edge/src/forward/sends.rs
@@ -14,7 +14,7 @@
 use super::{Body, Node, Reply};
 use crate::as_ms;
 use crate::exchange::{Answer, Outcome, Sent};
-use crate::reply::Own;
+use crate::reply::LocalReply;
 
 /// A request is hedged once it has taken this many times its prediction: below,
 /// the ordinary spread of the work would use the budget up.
@@ -86,8 +86,8 @@
                 Err(why) => return self.no_choice(call, why, so_far),
             };
             if tried.upstreams.is_empty() {
-                self.state.borrow_mut().first_send(&call.service);
-            } else if tried.arrived > 0 && !self.state.borrow_mut().second_send(&call.service) {
+                self.state.borrow_mut().record_first_send(&call.service);
+            } else if tried.arrived > 0 && !self.state.borrow_mut().try_second_send(&call.service) {
                 call.line("second_send_over_budget").log();
                 return give_up(so_far, COME_BACK);
             }
@@ -131,9 +131,9 @@
                 let line = line
                     .field("reason", "no upstream")
                     .field("evacuated", zones)
-                    .field("limited", state.notices.limited_count(now))
-                    .field("leaving", state.notices.leaving_count(now))
-                    .field("resting", state.notices.backoff_count(now));
+                    .field("limited", state.backpressure.limited_count(now))
+                    .field("leaving", state.backpressure.leaving_count(now))
+                    .field("resting", state.backpressure.backoff_count(now));
                 (line, come_back)
             }
             NoChoice::Refused { come_back, best, predicted, wait, report_age } => {
@@ -186,7 +186,7 @@
                 other = self.choose(call, &tried.upstreams, Patience::None) => other,
             };
             let Ok(other) = other else { continue };
-            if !self.state.borrow_mut().hedge(&call.service) {
+            if !self.state.borrow_mut().try_hedge(&call.service) {
                 continue;
             }
             call.line("hedged")
@@ -241,7 +241,7 @@
             Ok(choice) => choice,
             Err(why) => return self.no_choice(call, why, SoFar::NotRun),
         };
-        self.state.borrow_mut().first_send(&call.service);
+        self.state.borrow_mut().record_first_send(&call.service);
         let chunked = !matches!(call.head.framing, h1::Framing::Length(_));
         let (framing, first) = match call.head.framing {
             h1::Framing::Length(length) => {
@@ -270,7 +270,7 @@
         match self.send_with(call, &choice, Some(framing), &first, rest).await {
             Outcome::Answered(answer) => Reply::Upstream(answer),
             Outcome::NotRun(..) | Outcome::NotSent => give_up(SoFar::NotRun, COME_BACK),
-            Outcome::Lost(why) => Reply::Own(Own::failed(StatusCode::BAD_GATEWAY, why)),
+            Outcome::Lost(why) => Reply::Own(LocalReply::failed(StatusCode::BAD_GATEWAY, why)),
         }
     }
 }
@@ -278,10 +278,10 @@
 /// Ends a request that gets no further send.
 fn give_up(so_far: SoFar, come_back: Duration) -> Reply {
     match so_far {
-        SoFar::NotRun => Reply::Own(Own::not_run(come_back, "not run; come back later")),
+        SoFar::NotRun => Reply::Own(LocalReply::not_run(come_back, "not run; come back later")),
         SoFar::MayHaveRun => {
             let text = "no answer; the request may have run";
-            Reply::Own(Own::failed(StatusCode::BAD_GATEWAY, text))
+            Reply::Own(LocalReply::failed(StatusCode::BAD_GATEWAY, text))
         }
         SoFar::Error(answer) => Reply::Upstream(answer),
     }
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -54,7 +54,9 @@
         let (config_head, list_head, direct) = {
             let state = node.state.borrow();
             match state.is_ready() {
-                true => (state.config_seen.newest, state.list_seen.newest, state.direct),
+                true => {
+                    (state.config_progress.newest, state.list_progress.newest, state.reads_directly)
+                }
                 false => (0, 0, false),
             }
         };
@@ -100,7 +102,7 @@
 
 /// Tells peers what is news of what upstreams state about themselves.
 fn tell_notices(members: &mut member::Members, node: &Node) -> Vec<member::Outgoing> {
-    let (news, now) = (node.state.borrow_mut().notices.take_new_notices(), Instant::now());
+    let (news, now) = (node.state.borrow_mut().backpressure.take_new_notices(), Instant::now());
     news.into_iter().flat_map(|news| members.broadcast_notice(news, now)).collect()
 }
 
@@ -137,21 +139,21 @@
                 standing,
                 config_head: 0,
                 list_head: 0,
-                heard: false,
+                heads_received: false,
             });
             peer.zone = zone;
             peer.standing = standing;
-            state.notices.nodes_changed();
+            state.backpressure.nodes_changed();
         }
         member::Event::PeerRemoved { addr } => {
             peers.remove(&addr);
-            state.notices.nodes_changed();
+            state.backpressure.nodes_changed();
         }
         member::Event::PeerHeads { addr, config_head, list_head } => {
             if let Some(peer) = peers.get_mut(&addr) {
                 peer.config_head = config_head;
                 peer.list_head = list_head;
-                peer.heard = true;
+                peer.heads_received = true;
             }
         }
         member::Event::HealthReport(_)
--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -162,7 +162,7 @@
 /// it: the others may have been restarted at the same moment.
 fn reads_at_start(state: &State) -> bool {
     let is_settled = state.started_at.elapsed() >= SETTLED;
-    !state.settings.first_start && is_settled && is_keeper(state)
+    !state.settings.bootstrap && is_settled && is_keeper(state)
 }
 
 /// Keeps findings forever.
@@ -170,13 +170,13 @@
     let mut known: Option<Known> = None;
     let mut pause = RETRY.0;
     // What was read is of an older copy; how often the platform had gone back by then.
-    let (mut is_outdated, mut times_gone_back) = (false, 0);
+    let (mut is_outdated, mut store_rollbacks) = (false, 0);
     loop {
         monoio::time::sleep(LOOK).await;
         let (is_keeper, holds_any, must_read) = {
             let state = node.state.borrow();
             is_outdated |=
-                std::mem::replace(&mut times_gone_back, state.times_gone_back) < times_gone_back;
+                std::mem::replace(&mut store_rollbacks, state.store_rollbacks) < store_rollbacks;
             let holds_any = state.quarantine.quarantined().next().is_some();
             let knows_any = holds_any || state.quarantine.all().any(|finding| finding.epoch > 0);
             let is_keeper = is_keeper(&state);
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,17 +1,19 @@
-//! The entry node where requests are routed by host and path.
+//! The entry node, which routes requests by host and path.
 //!
-//! [`serve`] takes callers' requests and [`forward`] takes each to its answer,
-//! by the decisions of the crates `route`, `place` and `limit`; [`exchange`]
-//! sends one request to one upstream over a connection kept in [`conns`];
-//! [`probe`] asks upstreams for their load just before a choice. [`follow`]
-//! keeps the node's beliefs in step with the platform, whatever that platform
-//! is: it is reached through the trait [`follow::Source`] only; most nodes read it
-//! through a peer ([`readers`], [`relay`]). [`record`] keeps the
-//! record of configurations, [`holds`] which requests are held back since they crash upstreams. [`gossip`] knows the other entry nodes, [`directory`] tells callers which of them to
-//! use, [`status`] tells operators what the node believes, [`stop`] ends the process without cutting a request.
+//! - Requests: [`serve`] reads requests from callers and writes the responses, [`forward`] obtains
+//!   the response to each request using the decisions of the crates `route`, `place` and `limit`,
+//!   and [`exchange`] sends one request to one upstream over a connection from the pool in
+//!   [`conns`]. [`probe`] queries upstreams for their load just before a choice.
+//! - Platform: [`follow`] keeps the node's state in sync with the platform, which it accesses only
+//!   through the trait [`follow::Source`]. Most nodes read it through a peer ([`readers`],
+//!   [`relay`]). [`record`] writes the audit record of configurations, and [`holds`] stores which
+//!   requests are quarantined because they crash upstreams.
+//! - Peers, callers and operators: [`gossip`] runs the membership of entry nodes, [`directory`]
+//!   tells callers which nodes to use, and [`status`] shows the node's state to operators.
+//! - Process: [`stop`] ends the process without cutting off requests.
 //!
-//! All tasks run on one thread. What the request path reads is one
-//! [`state::State`]; no borrow of it is held across an await.
+//! All tasks run on one thread. The request path reads a single [`state::State`]; no borrow of it
+//! is held across an await.
 
 pub mod conns;
 pub mod directory;
@@ -44,91 +46,91 @@
 /// Names of the headers that the platform's callers and upstreams use.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Id of one attempt of a caller, echoed by upstreams.
+    /// Id of one attempt of a caller; upstreams echo it.
     pub request_id: HeaderName,
     /// Time left for a request, in whole milliseconds.
     pub deadline_ms: HeaderName,
-    /// Proof that an upstream made the answer.
+    /// Proves that an upstream produced the response.
     pub signature: HeaderName,
-    /// The one upstream start that may run a request.
+    /// The only upstream incarnation that may run a request.
     pub expect_upstream: HeaderName,
     /// Present when an upstream did not run a request.
     pub not_run: HeaderName,
-    /// Load of the upstream that answers.
+    /// Load of the responding upstream.
     pub load: HeaderName,
-    /// For how many milliseconds more the upstream that answers a probe is cold.
+    /// Remaining time for which the upstream responding to a probe is cold, in milliseconds.
     pub cold_ms: HeaderName,
-    /// What the upstream that answers states about itself.
+    /// Backpressure signals of the responding upstream.
     pub notices: notice::HeaderNames,
 }
 
-/// What one entry node is told at start.
+/// Settings of one entry node.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of the node.
     pub node_id: SmolStr,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// Regions of the availability zones.
+    /// Region of each availability zone.
     pub regions: HashMap<Zone, Region>,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub front_addr: SocketAddr,
-    /// Where other entry nodes reach it; its identity among them.
+    /// Address that other entry nodes connect to; identifies the node among them.
     pub peer_addr: SocketAddr,
-    /// Other entry nodes to begin with, which may be gone.
+    /// Entry nodes to contact at start; they may no longer exist.
     pub seed_addrs: Vec<SocketAddr>,
     /// Whether the whole fleet starts for the first time, with nothing to serve yet.
-    pub first_start: bool,
-    /// Names of headers.
+    pub bootstrap: bool,
+    /// Header names of the platform.
     pub headers: HeaderNames,
-    /// How upstreams are chosen.
+    /// Policy for choosing upstreams.
     pub policy: place::Policy,
-    /// Reads the load header of an upstream's answer.
-    pub read_load: fn(&str) -> Option<place::Load>,
-    /// Time within which a configuration that the platform took must be in force.
+    /// Parses the load header of an upstream's response.
+    pub parse_load: fn(&str) -> Option<place::Load>,
+    /// Time within which a configuration that the platform accepted must be in force.
     pub config_bound: lease::StalenessBound,
-    /// The same for what changes about upstreams.
+    /// Time within which a change of the list of upstreams must be in force.
     pub list_bound: lease::StalenessBound,
-    /// How long callers may keep a directory answer.
+    /// Time for which callers may cache a directory response.
     pub directory_ttl: Duration,
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub stop_grace: Duration,
-    /// Second sends allowed per first send, over the whole fleet.
+    /// Second sends allowed per first send, across the whole fleet.
     pub retry_ratio: f64,
-    /// Second sends allowed beyond that ratio, over the whole fleet, per window.
+    /// Second sends allowed beyond that ratio per window, across the whole fleet.
     pub retry_slack: f64,
-    /// Probes per second that one upstream may get from the whole fleet.
-    pub probes_per_upstream_s: f64,
-    /// What it costs to send one KiB to another zone and back, as a share of a request's worth.
+    /// Maximum rate of probes to one upstream from the whole fleet, per second.
+    pub max_probes_per_upstream_per_s: f64,
+    /// Cost of sending one KiB to another zone and back, as a fraction of a request's worth.
     pub cross_zone_cost_per_kib: f64,
 }
 
 impl Settings {
-    /// Returns the availability zones whose upstreams may run requests with these homes; `None` where
-    /// all may.
-    fn home_zones(&self, homes: &[Region]) -> Option<BTreeSet<Zone>> {
-        let in_homes = |(_, region): &(&Zone, &Region)| homes.contains(region);
-        let zones = || self.regions.iter().filter(in_homes).map(|(zone, _)| zone.clone());
-        (!homes.is_empty()).then(|| zones().collect())
+    /// Returns the availability zones of the allowed regions; `None` if `allowed_regions` is empty,
+    /// which allows all zones.
+    fn allowed_zones(&self, allowed_regions: &[Region]) -> Option<BTreeSet<Zone>> {
+        let is_allowed = |(_, region): &(&Zone, &Region)| allowed_regions.contains(region);
+        let zones = || self.regions.iter().filter(is_allowed).map(|(zone, _)| zone.clone());
+        (!allowed_regions.is_empty()).then(|| zones().collect())
     }
 }
 
-/// Returns the key of a start of an upstream.
+/// Returns the key of an upstream incarnation.
 fn start_of(upstream: &place::Incarnation) -> quarantine::Start {
     quarantine::Start::of(&upstream.id, upstream.born_ms)
 }
 
-/// Returns whole milliseconds, as logs and the status give times.
+/// Returns a time in whole milliseconds, the unit of logs and the status.
 fn as_ms(time: Duration) -> u64 {
     time.as_millis() as u64
 }
 
-/// Returns the present by both clocks.
+/// Returns the current time of the monotonic clock and of the wall clock.
 fn moment() -> notice::Moment {
     notice::Moment { at: Instant::now(), unix_ms: unix_ms() }
 }
 
-/// Returns the time of day.
+/// Returns the wall clock time in milliseconds since the Unix epoch; 0 if the clock is before it.
 fn unix_ms() -> quarantine::UnixMs {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics of one entry node, as text.
+//! Metrics of one entry node, in text format.
 //!
-//! Nothing is labelled by service, route or upstream: at 560 services and
-//! 6,700 upstreams one scrape would be megabytes. The log has the particulars.
+//! No metric has a label for service, route or upstream: with 560 services and 6,700 upstreams, one
+//! scrape would be megabytes. The log has these details.
 
 use std::time::{Duration, Instant};
 
@@ -11,8 +11,8 @@
 use crate::follow::Topic;
 use crate::state::{Counters, State};
 
-/// Bounds of the request-time histogram, in seconds.
-const REQUEST_SECONDS: [f64; 13] =
+/// Bucket bounds of the request duration histogram, in seconds.
+const REQUEST_SECONDS_BUCKETS: [f64; 13] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 5.0, 10.0];
 
 const COUNTERS: [meter::CounterSpec<Counters>; 19] = [
@@ -43,83 +43,83 @@
     ("oatcove_relay_far_bytes", "Bytes of rows passed on to another zone", |c| c.relay_far_bytes),
 ];
 
-/// The instruments of one entry node.
+/// The metric instruments of one entry node.
 pub struct Metrics {
-    carried: meter::Metrics<Counters>,
+    registry: meter::Metrics<Counters>,
     request_seconds: Histogram<f64>,
     in_flight: Gauge<u64>,
     config_version: Gauge<u64>,
-    config_unsure: Gauge<u64>,
-    list_unsure: Gauge<u64>,
+    config_stale: Gauge<u64>,
+    list_stale: Gauge<u64>,
     upstreams: Gauge<u64>,
     peers_alive: Gauge<u64>,
-    store_away: Gauge<u64>,
-    held_back: Gauge<u64>,
+    store_unreachable: Gauge<u64>,
+    quarantined: Gauge<u64>,
     limited: Gauge<u64>,
     leaving: Gauge<u64>,
-    resting: Gauge<u64>,
+    backing_off: Gauge<u64>,
     zones_evacuated: Gauge<u64>,
     lines_dropped: Gauge<u64>,
 }
 
 impl Metrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
-    /// [`meter::Error::Setup`] when the exporter refuses its settings.
+    /// Returns [`meter::Error::Setup`] if the exporter rejects its settings.
     pub fn new() -> Result<Metrics, meter::Error> {
-        let carried = meter::Metrics::new("oatcove-entry", &COUNTERS)?;
+        let registry = meter::Metrics::new("oatcove-entry", &COUNTERS)?;
         Ok(Metrics {
-            request_seconds: carried.seconds(
+            request_seconds: registry.seconds(
                 "oatcove_request_seconds",
                 "Time from a request's head to its answer, by outcome",
-                &REQUEST_SECONDS,
+                &REQUEST_SECONDS_BUCKETS,
             ),
-            in_flight: carried.gauge("oatcove_in_flight"),
-            config_version: carried.gauge("oatcove_config_version"),
-            config_unsure: carried.gauge("oatcove_config_unsure"),
-            list_unsure: carried.gauge("oatcove_list_unsure"),
-            upstreams: carried.gauge("oatcove_upstreams_listed"),
-            peers_alive: carried.gauge("oatcove_peers_alive"),
-            store_away: carried.gauge("oatcove_store_away"),
-            held_back: carried.gauge("oatcove_requests_held_back"),
-            limited: carried.gauge("oatcove_upstreams_limited"),
-            leaving: carried.gauge("oatcove_upstreams_leaving"),
-            resting: carried.gauge("oatcove_upstreams_resting"),
-            zones_evacuated: carried.gauge("oatcove_zones_evacuated"),
-            lines_dropped: carried.gauge("oatcove_log_lines_dropped"),
-            carried,
+            in_flight: registry.gauge("oatcove_in_flight"),
+            config_version: registry.gauge("oatcove_config_version"),
+            config_stale: registry.gauge("oatcove_config_unsure"),
+            list_stale: registry.gauge("oatcove_list_unsure"),
+            upstreams: registry.gauge("oatcove_upstreams_listed"),
+            peers_alive: registry.gauge("oatcove_peers_alive"),
+            store_unreachable: registry.gauge("oatcove_store_away"),
+            quarantined: registry.gauge("oatcove_requests_held_back"),
+            limited: registry.gauge("oatcove_upstreams_limited"),
+            leaving: registry.gauge("oatcove_upstreams_leaving"),
+            backing_off: registry.gauge("oatcove_upstreams_resting"),
+            zones_evacuated: registry.gauge("oatcove_zones_evacuated"),
+            lines_dropped: registry.gauge("oatcove_log_lines_dropped"),
+            registry,
         })
     }
 
-    /// Records how long a request took, by what became of it.
-    pub fn request(&self, took: Duration, outcome: &'static str) {
-        self.request_seconds.record(took.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
+    /// Records the duration of a request, labelled with its outcome.
+    pub fn record_request(&self, elapsed: Duration, outcome: &'static str) {
+        self.request_seconds.record(elapsed.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Returns the text of a scrape.
+    /// Returns the current values in text format.
     ///
     /// # Errors
     ///
-    /// [`meter::Error::Encode`] when the text cannot be written.
+    /// Returns [`meter::Error::Encode`] if the values cannot be encoded.
     pub fn scrape(&self, state: &State) -> Result<String, meter::Error> {
         let alive = state.peers.values().filter(|p| p.standing == wire::Standing::Alive);
         self.in_flight.record(state.in_flight, &[]);
         self.config_version.record(state.config_version(), &[]);
         self.upstreams.record(state.roster.len() as u64, &[]);
         self.peers_alive.record(alive.count() as u64, &[]);
-        self.store_away.record(u64::from(state.roster.store_is_unreachable()), &[]);
-        self.held_back.record(state.quarantine.quarantined().count() as u64, &[]);
+        self.store_unreachable.record(u64::from(state.roster.store_is_unreachable()), &[]);
+        self.quarantined.record(state.quarantine.quarantined().count() as u64, &[]);
         let now = Instant::now();
-        let unsure = |topic| u64::from(!state.is_sure(topic, now));
-        self.config_unsure.record(unsure(Topic::Config), &[]);
-        self.list_unsure.record(unsure(Topic::Upstreams), &[]);
-        self.limited.record(state.notices.limited_count(now) as u64, &[]);
-        self.leaving.record(state.notices.leaving_count(now) as u64, &[]);
-        self.resting.record(state.notices.backoff_count(now) as u64, &[]);
+        let is_stale = |topic| u64::from(!state.is_fresh(topic, now));
+        self.config_stale.record(is_stale(Topic::Config), &[]);
+        self.list_stale.record(is_stale(Topic::Upstreams), &[]);
+        self.limited.record(state.backpressure.limited_count(now) as u64, &[]);
+        self.leaving.record(state.backpressure.leaving_count(now) as u64, &[]);
+        self.backing_off.record(state.backpressure.backoff_count(now) as u64, &[]);
         self.zones_evacuated.record(state.evacuations.zones().len() as u64, &[]);
         self.lines_dropped.record(trace::dropped_lines(), &[]);
-        self.carried.scrape(&state.counters)
+        self.registry.scrape(&state.counters)
     }
 }
--- a/crates/edge/src/probe.rs
+++ b/crates/edge/src/probe.rs
@@ -167,6 +167,7 @@
 pub fn allowance(node: &Node, service: &str) -> (f64, f64) {
     let state = node.state.borrow();
     let upstreams = state.pools.get(service).map_or(0, place::Pool::in_service_count) as f64;
-    let per_s = state.settings.probes_per_upstream_s * upstreams / state.fleet_size() as f64;
+    let per_s =
+        state.settings.max_probes_per_upstream_per_s * upstreams / state.fleet_size() as f64;
     (per_s, upstreams * SAVED_MOST)
 }
--- a/crates/edge/src/readers.rs
+++ b/crates/edge/src/readers.rs
@@ -102,16 +102,16 @@
 
 /// Returns for how long a node without a reader may look for one before it reads the platform itself.
 pub fn switch_within(state: &State) -> Duration {
-    match state.is_in_step() {
+    match state.has_read_all_topics() {
         true => SWITCH_WITHIN,
-        false if state.settings.first_start => SWITCH_WITHIN_FIRST_START,
+        false if state.settings.bootstrap => SWITCH_WITHIN_FIRST_START,
         false => SWITCH_WITHIN_RESTARTED,
     }
 }
 
 /// Returns true once this node knows enough of its peers to tell whether it is a reader.
 pub fn knows_peers(state: &State, now: Instant) -> bool {
-    let after = match state.settings.first_start {
+    let after = match state.settings.bootstrap {
         true => KNOWS_PEERS_AFTER_FIRST_START,
         false => KNOWS_PEERS_AFTER,
     };
@@ -135,7 +135,7 @@
 /// are is not known yet. One that was restarted and has read the platform itself does not: a list of
 /// 30 KB more from another zone would tell it nothing.
 fn reads_through_seeds(state: &State, now: Instant) -> bool {
-    let needs_seeds = state.settings.first_start || !state.is_in_step();
+    let needs_seeds = state.settings.bootstrap || !state.has_read_all_topics();
     needs_seeds && begins_with_seeds(&state.settings) && !knows_peers(state, now)
 }
 
@@ -166,7 +166,7 @@
 /// The load pattern: the platform is down and each of a hundred nodes tries it every half second.
 /// Each call is paid for, and none helps: the readers notice first that it is back.
 pub fn longest_pause(state: &State, most: Duration) -> Duration {
-    match state.is_in_step() && !is_reader(state, state.settings.peer_addr) {
+    match state.has_read_all_topics() && !is_reader(state, state.settings.peer_addr) {
         true => {
             let spread = state.fleet_size() as f64 / FRUITLESS_CALLS_PER_S;
             Duration::from_secs_f64(spread).clamp(most, PAUSE_MOST.max(most))
@@ -178,7 +178,7 @@
 /// Returns true when a node without a reader may wait for one: nothing is late yet that callers wait
 /// for.
 fn may_search(state: &State) -> bool {
-    !state.direct && (state.is_in_step() || state.settings.first_start)
+    !state.reads_directly && (state.has_read_all_topics() || state.settings.bootstrap)
 }
 
 /// Chooses how this node reads the platform now; peers in `avoided` failed it until then.
@@ -193,7 +193,7 @@
     let me = state.settings.peer_addr;
     let usable =
         |addr: &SocketAddr| *addr != me && avoided.get(addr).is_none_or(|until| *until <= now);
-    let candidates: Vec<SocketAddr> = match state.is_in_step() {
+    let candidates: Vec<SocketAddr> = match state.has_read_all_topics() {
         // The platform does not answer a node that has nothing yet: any peer helps that serves.
         false if state.roster.store_unreachable_for(now) >= AWAY_FOR_NEWCOMER => {
             let serving = state.peers.iter().filter(|(_, peer)| peer.config_head > 0);
--- a/crates/edge/src/record.rs
+++ b/crates/edge/src/record.rs
@@ -101,19 +101,19 @@
     let me = state.settings.peer_addr;
     let serves = |peer: &Peer| match due_for < PRESUMED_FOR {
         true => peer.may_serve(),
-        false => peer.may_serve() && peer.heard,
+        false => peer.may_serve() && peer.heads_received,
     };
     state.is_ready() && !state.peers.iter().any(|(addr, peer)| *addr < me && serves(peer))
 }
 
 /// Writes records forever.
 pub async fn run<R: Records>(records: R, node: Rc<Node>) {
-    let mut times_gone_back = 0;
+    let mut store_rollbacks = 0;
     loop {
         monoio::time::sleep(LOOK).await;
         {
             let state = &mut *node.state.borrow_mut();
-            if std::mem::replace(&mut times_gone_back, state.times_gone_back) < times_gone_back {
+            if std::mem::replace(&mut store_rollbacks, state.store_rollbacks) < store_rollbacks {
                 state.unrecorded.write_again(Instant::now());
             }
         }
--- a/crates/edge/src/relay/frame.rs
+++ b/crates/edge/src/relay/frame.rs
@@ -40,8 +40,8 @@
 
 impl Greeting {
     pub(super) fn of(state: &State, was_referred: bool) -> Greeting {
-        let holds_nothing = !state.is_in_step();
-        let nothing_else = state.settings.first_start || state.roster.store_is_unreachable();
+        let holds_nothing = !state.has_read_all_topics();
+        let nothing_else = state.settings.bootstrap || state.roster.store_is_unreachable();
         let takes_anything = holds_nothing && nothing_else;
         Greeting {
             peer_addr: state.settings.peer_addr,
@@ -49,8 +49,8 @@
             is_newcomer: holds_nothing && !takes_anything,
             was_referred,
             takes_anything,
-            config_newest: state.config_seen.newest,
-            list_newest: state.list_seen.newest,
+            config_newest: state.config_progress.newest,
+            list_newest: state.list_progress.newest,
         }
     }
 }
@@ -135,34 +135,34 @@
         let now = Instant::now();
         Frame::Sure {
             asked_after: asked.asked_after,
-            config_age: state.config_seen.lease.age(now),
-            list_age: state.list_seen.lease.age(now),
+            config_age: state.config_progress.lease.age(now),
+            list_age: state.list_progress.lease.age(now),
         }
     }
 
     /// Returns the frame of the configuration held.
     pub fn config(state: &State) -> Frame {
-        let seen = state.config_seen;
+        let seen = state.config_progress;
         let table = state.table.as_deref().cloned();
-        let held_for = state.table_since.elapsed();
+        let held_for = state.table_applied_at.elapsed();
         Frame::Config { up_to: seen.up_to, newest: seen.newest, table, held_for }
     }
 
     /// Returns the frame of the evacuated zones.
     pub fn evacuated(state: &State) -> Frame {
-        let (seen, zones) = (state.config_seen, state.evacuations.zones().clone());
+        let (seen, zones) = (state.config_progress, state.evacuations.zones().clone());
         Frame::Evacuated { up_to: seen.up_to, newest: seen.newest, zones }
     }
 
     /// Returns the frame that tells how far the list was read.
     pub fn read(state: &State) -> Frame {
-        let seen = state.list_seen;
+        let seen = state.list_progress;
         Frame::Read { up_to: seen.up_to, newest: seen.newest }
     }
 
     /// Returns the frame of changes taken on.
     pub fn changes(state: &State, changes: &[Change]) -> Frame {
-        let seen = state.list_seen;
+        let seen = state.list_progress;
         let event = |change: &Change| match change {
             Change::Put(entry) => Event::Put(entry.clone()),
             Change::Drop { upstream, .. } => Event::Gone(upstream.id.clone()),
@@ -175,9 +175,9 @@
     pub(super) fn is_stale(&self, state: &State) -> bool {
         match self {
             Frame::Config { up_to, .. } | Frame::Evacuated { up_to, .. } => {
-                *up_to < state.config_seen.newest
+                *up_to < state.config_progress.newest
             }
-            Frame::List { up_to, .. } => *up_to < state.list_seen.newest,
+            Frame::List { up_to, .. } => *up_to < state.list_progress.newest,
             Frame::MayBeLate => true,
             Frame::Sure { .. } | Frame::Read { .. } | Frame::Changes { .. } | Frame::Ask { .. } => {
                 false
--- a/crates/edge/src/relay/serve.rs
+++ b/crates/edge/src/relay/serve.rs
@@ -35,7 +35,7 @@
     let mut failures = 0;
     loop {
         monoio::time::sleep(PATH_EVERY).await;
-        let needed = node.state.borrow().direct && !node.subscribers.is_empty();
+        let needed = node.state.borrow().reads_directly && !node.subscribers.is_empty();
         if !needed && failures == 0 {
             continue;
         }
@@ -44,9 +44,9 @@
             false => failures + 1,
         };
         let reached = failures < PATH_FAILURES;
-        if node.state.borrow().reaches_platform != reached {
+        if node.state.borrow().platform_reachable != reached {
             trace::Line::new(if reached { "path_regained" } else { "path_lost" }).log();
-            node.state.borrow_mut().reaches_platform = reached;
+            node.state.borrow_mut().platform_reachable = reached;
         }
         if !reached {
             node.subscribers.drop_all(true);
@@ -75,13 +75,13 @@
 /// meanwhile. Passed on, they would come back to life at nodes that had
 /// rightly let them go.
 fn may_pass_on(state: &State, greeting: &Greeting) -> bool {
-    let current = state.is_sure_of_all(Instant::now())
-        && state.reaches_platform
+    let current = state.is_all_fresh(Instant::now())
+        && state.platform_reachable
         && !state.roster.store_is_unreachable()
         && !state.roster.keeps_unlisted();
-    let enough = state.config_seen.up_to >= greeting.config_newest
-        && state.list_seen.up_to >= greeting.list_newest;
-    state.is_in_step() && enough && (current || greeting.takes_anything)
+    let enough = state.config_progress.up_to >= greeting.config_newest
+        && state.list_progress.up_to >= greeting.list_newest;
+    state.has_read_all_topics() && enough && (current || greeting.takes_anything)
 }
 
 /// Returns true when this node may soon be able to pass on what it cannot yet: it is about to read
@@ -93,7 +93,7 @@
         true => greeting.was_referred,
         false => {
             greeting.takes_anything
-                || (state.reaches_platform && !state.roster.store_is_unreachable())
+                || (state.platform_reachable && !state.roster.store_is_unreachable())
         }
     }
 }
--- a/crates/edge/src/relay/subscribe.rs
+++ b/crates/edge/src/relay/subscribe.rs
@@ -58,14 +58,14 @@
             Some(peer) => Way::Via(peer),
             None => {
                 let state = &mut *node.state.borrow_mut();
-                state.direct |= state.is_in_step() && !state.is_sure_of_all(now);
+                state.reads_directly |= state.has_read_all_topics() && !state.is_all_fresh(now);
                 let searching = now < fed_until + readers::switch_within(state);
                 readers::choose(state, &avoided, searching, now)
             }
         };
         match way {
             Way::Direct => {
-                node.state.borrow_mut().direct = true;
+                node.state.borrow_mut().reads_directly = true;
                 monoio::time::sleep(LOOK).await;
             }
             Way::Later => monoio::time::sleep(LOOK_IN_STEP).await,
@@ -78,7 +78,7 @@
                     .field("took_ms", as_ms(began.elapsed()))
                     .log();
                 let mut state = node.state.borrow_mut();
-                state.reads_through = None;
+                state.relay_peer = None;
                 let search_is_over = fed_until.elapsed() > readers::switch_within(&state);
                 if ended == Ended::Moved {
                     // Whether the platform answers is found out anew.
@@ -89,11 +89,12 @@
                     named = Some(peer);
                     continue;
                 }
-                let starts = state.settings.first_start && !state.is_in_step();
+                let starts = state.settings.bootstrap && !state.has_read_all_topics();
                 let soon_back = ended == Ended::Closed || starts;
                 let avoid_for = if soon_back { AVOID_FOR_A_MOMENT } else { AVOID_FOR };
                 avoided.insert(peer, Instant::now() + avoid_for);
-                state.direct |= search_is_over || matches!(ended, Ended::Behind | Ended::Unsure);
+                state.reads_directly |=
+                    search_is_over || matches!(ended, Ended::Behind | Ended::Unsure);
             }
         }
     }
@@ -151,7 +152,7 @@
 ) -> Ended {
     let restarts = {
         let state = node.state.borrow();
-        !state.settings.first_start && !state.is_in_step()
+        !state.settings.bootstrap && !state.has_read_all_topics()
     };
     let (connect_timeout, mut patience) = match restarts {
         true => (CONNECT_TIMEOUT_RESTARTED, FIRST_FRAME_RESTARTED),
@@ -214,8 +215,8 @@
                 let state = &mut *node.state.borrow_mut();
                 renew(state, Topic::Config, asked_at, config_age);
                 renew(state, Topic::Upstreams, asked_at, list_age);
-                (state.direct, state.reads_through) = (false, Some(peer));
-                state.list_is_own = false;
+                (state.reads_directly, state.relay_peer) = (false, Some(peer));
+                state.list_from_platform = false;
                 patience = SILENT_FOR;
                 fed.set(true);
             }
@@ -232,7 +233,7 @@
 /// Takes how old what a peer knows of a topic was when it was asked.
 fn renew(state: &mut State, topic: Topic, asked_at: Instant, age: Option<Duration>) {
     let as_of = age.and_then(|age| asked_at.checked_sub(age));
-    as_of.into_iter().for_each(|as_of| state.seen_mut(topic).lease.renew(as_of));
+    as_of.into_iter().for_each(|as_of| state.progress_mut(topic).lease.renew(as_of));
 }
 
 /// Asks the peer again and again as of when it knows everything; ends when it takes no more.
@@ -262,11 +263,11 @@
     loop {
         monoio::time::sleep(LOOK_IF_SURE).await;
         let state = &mut *node.state.borrow_mut();
-        match state.is_sure_of_all(Instant::now()) {
+        match state.is_all_fresh(Instant::now()) {
             true => {}
             false if fed.get() => return,
             // A node that starts looks for a peer first.
-            false => state.direct |= state.is_in_step(),
+            false => state.reads_directly |= state.has_read_all_topics(),
         }
     }
 }
--- a/crates/edge/src/relay/subscribe/tests.rs
+++ b/crates/edge/src/relay/subscribe/tests.rs
@@ -31,6 +31,6 @@
         let node = Rc::new(Node::new(Rc::new(RefCell::new(state_at(addr(9), &[]))), metrics()));
         let ended = subscribe(&node, peer, false, &mut Instant::now()).await;
         assert_eq!(ended, Ended::Unreadable);
-        assert!(!node.state.borrow().is_sure(Topic::Config, Instant::now()));
+        assert!(!node.state.borrow().is_fresh(Topic::Config, Instant::now()));
     });
 }
--- a/crates/edge/src/relay/subscribers.rs
+++ b/crates/edge/src/relay/subscribers.rs
@@ -78,7 +78,7 @@
         };
         let entries = self.entries.borrow_mut().get_or_insert_with(encoded).clone();
         // How far the list was read moves on also while the upstreams stay the same.
-        let seen = state.list_seen;
+        let seen = state.list_progress;
         Frame::List { up_to: seen.up_to, newest: seen.newest, entries }
     }
 
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -1,9 +1,9 @@
-//! Callers' connections: [`take`] reads requests, [`answer`] writes the answers in their order,
-//! [`pipeline`] is what is under way in between.
+//! Callers' connections: [`requests`] reads requests, [`responses`] writes the responses in the
+//! order of the requests, and [`pipeline`] tracks the requests in flight between the two.
 
-mod answer;
 mod pipeline;
-mod take;
+mod requests;
+mod responses;
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -15,29 +15,29 @@
 use web::h1;
 
 use self::pipeline::Pipeline;
-use self::take::Taker;
+use self::requests::RequestReader;
 use crate::forward::Node;
 
-/// Time that a closing connection is still read from. Closing while bytes
-/// arrive resets the connection, which can destroy an answer that the caller
-/// has not read yet.
-const LINGER: Duration = Duration::from_millis(1_000);
+/// Maximum time for which a closing connection is still read. Closing it while bytes arrive resets
+/// the connection, which can destroy a response that the caller has not read yet.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Bytes read and thrown away from a closing connection at most.
-const LINGER_BYTES: usize = 1024 * 1024;
+/// Maximum number of bytes read from a closing connection and discarded.
+const MAX_LINGER_BYTES: usize = 1024 * 1024;
 
-/// Accepts callers until the listener is dropped with this future.
+/// Accepts connections of callers; dropping the future closes the listener.
 pub async fn run(listener: TcpListener, node: Rc<Node>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Fails only on a connection that is gone already.
+                // Fails only if the connection is already closed.
                 let _ = stream.set_nodelay(true);
                 let node = node.clone();
-                monoio::spawn(async move { connection(stream, node).await });
+                monoio::spawn(async move { serve_connection(stream, node).await });
             }
             Err(err) => {
-                // Running out of descriptors shows here; without a pause this loop would spin.
+                // Happens when the process is out of file descriptors; without a pause this would
+                // be a busy loop.
                 trace::Line::new("accept_failed").field("error", err.to_string()).log();
                 monoio::time::sleep(Duration::from_millis(10)).await;
             }
@@ -46,39 +46,40 @@
 }
 
 /// How a connection ends.
-enum End {
-    /// It is closed once the caller has read the last answer.
+enum ConnectionEnd {
+    /// The node closes it once the caller has read the last response.
     Linger,
-    /// The caller is gone.
-    Gone,
+    /// The caller has disconnected, or the connection is of no use any more.
+    Disconnected,
 }
 
-async fn connection(stream: TcpStream, node: Rc<Node>) {
+async fn serve_connection(stream: TcpStream, node: Rc<Node>) {
     let (read, write) = stream.into_split();
     let mut reader = h1::Reader::with_receive_times(read);
     let mut writer = h1::Writer::new(write);
     let end = {
         let pipeline = Pipeline::default();
-        let (turns, in_order) = unbounded::channel();
-        let taker = Taker { reader: &mut reader, turns, pipeline: &pipeline, node: &node };
-        let mut taking = pin!(taker.run());
-        let mut answering = pin!(answer::write_all(&mut writer, in_order, &pipeline, &node));
+        let (writes, queued_writes) = unbounded::channel();
+        let request_reader =
+            RequestReader { reader: &mut reader, writes, pipeline: &pipeline, node: &node };
+        let mut reading = pin!(request_reader.run());
+        let mut writing = pin!(responses::write_all(&mut writer, queued_writes, &pipeline, &node));
         monoio::select! {
-            end = &mut answering => end,
-            () = &mut taking => End::Gone,
+            end = &mut writing => end,
+            () = &mut reading => ConnectionEnd::Disconnected,
         }
     };
     match end {
-        End::Linger => linger(&mut reader, &mut writer).await,
-        End::Gone => {}
+        ConnectionEnd::Linger => linger(&mut reader, &mut writer).await,
+        ConnectionEnd::Disconnected => {}
     }
 }
 
-/// Reads from a closing connection until the caller closes too, for a while.
+/// Reads from a closing connection until the caller closes it too, within the linger limits.
 async fn linger(reader: &mut h1::Reader, writer: &mut h1::Writer) {
     writer.shutdown().await;
     let reading = async {
-        let mut left = LINGER_BYTES;
+        let mut left = MAX_LINGER_BYTES;
         while let Ok(Some(bytes)) = reader.discard().await {
             left = left.saturating_sub(bytes);
             if left == 0 {
@@ -86,5 +87,5 @@
             }
         }
     };
-    let _ = monoio::time::timeout(LINGER, reading).await;
+    let _ = monoio::time::timeout(LINGER_TIMEOUT, reading).await;
 }
--- a/crates/edge/src/serve/pipeline.rs
+++ b/crates/edge/src/serve/pipeline.rs
@@ -1,9 +1,10 @@
-//! Requests of one connection that are under way at the same time.
+//! Tracks the requests of one connection that are in flight at the same time.
 //!
-//! A caller may send further requests before the first is answered. Served one after another, the
-//! second would wait unread behind the first, its objective running. Here [`super::take`] reads
-//! ahead and forwards each request as soon as it may run; [`super::answer`] writes the answers in
-//! the order of the requests. docs/design/pipelining.md has the rules.
+//! A caller may pipeline requests: send more of them before the first is answered. If they were
+//! served one after another, the second would wait unread behind the first while its objective is
+//! running out. Instead, [`super::requests`] reads ahead and forwards each request as soon as it
+//! may run, and [`super::responses`] writes the responses in the order of the requests. The rules
+//! are in docs/design/pipelining.md.
 
 use std::cell::{Cell, RefCell};
 use std::future;
@@ -18,73 +19,74 @@
 
 use crate::forward::{Body, Caller, Node, Reply};
 
-/// Requests of one connection that are read and not answered yet, at most. Each may hold a whole
-/// answer of 64 KiB that waits for those before it: half a megabyte for a connection.
-const UNANSWERED_MOST: usize = 8;
+/// Maximum number of requests of one connection that are read and not answered yet. Each may hold a
+/// complete response of 64 KiB that waits for the ones before it: half a megabyte per connection.
+const MAX_UNANSWERED_REQUESTS: usize = 8;
 
-/// Bytes of the bodies of such requests at which no further request is read.
-const HELD_BYTES_MOST: usize = 128 * 1024;
+/// Total size of the bodies of such requests from which no further request is read.
+const MAX_PENDING_BODY_BYTES: usize = 128 * 1024;
 
-/// How many requests of a connection are under way, shared by its reading and its writing half.
+/// Counts the unanswered requests of a connection; shared by its reading and its writing half.
 #[derive(Default)]
 pub(super) struct Pipeline {
     unanswered: Cell<usize>,
-    held_bytes: Cell<usize>,
+    body_bytes: Cell<usize>,
     closing: Cell<bool>,
-    /// The reading half, while it waits for answers to be written.
-    waiting: RefCell<Option<Waker>>,
+    /// Wakes the reading half while it waits for responses to be written.
+    reader_waker: RefCell<Option<Waker>>,
 }
 
 impl Pipeline {
-    /// Returns how many requests were begun whose answer is not written yet.
+    /// Returns the number of started requests whose response is not written yet.
     pub(super) fn unanswered(&self) -> usize {
         self.unanswered.get()
     }
 
-    /// Returns true once an answer that closes the connection is being written: no request behind
-    /// it may run, since its caller sends it again elsewhere.
+    /// Returns true once a response that closes the connection is being written. No request after
+    /// it may run, since the caller sends it again on another connection.
     pub(super) fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Records that the answer being written closes the connection.
-    pub(super) fn close(&self) {
+    /// Records that the response being written closes the connection.
+    pub(super) fn set_closing(&self) {
         self.closing.set(true);
     }
 
-    /// Records that a request with a body of `held_bytes` was begun.
-    pub(super) fn begun(&self, held_bytes: usize) {
+    /// Records the start of a request with a body of `body_bytes`.
+    pub(super) fn request_started(&self, body_bytes: usize) {
         self.unanswered.set(self.unanswered.get() + 1);
-        self.held_bytes.set(self.held_bytes.get() + held_bytes);
+        self.body_bytes.set(self.body_bytes.get() + body_bytes);
     }
 
-    /// Records that the answer to a request with a body of `held_bytes` was written.
-    pub(super) fn answered(&self, held_bytes: usize) {
+    /// Records that the response to a request with a body of `body_bytes` was written.
+    pub(super) fn response_written(&self, body_bytes: usize) {
         self.unanswered.set(self.unanswered.get() - 1);
-        self.held_bytes.set(self.held_bytes.get() - held_bytes);
-        if let Some(waiting) = self.waiting.borrow_mut().take() {
-            waiting.wake();
+        self.body_bytes.set(self.body_bytes.get() - body_bytes);
+        if let Some(waker) = self.reader_waker.borrow_mut().take() {
+            waker.wake();
         }
     }
 
     /// Waits until a further request may be read.
-    pub(super) async fn room(&self) {
-        self.until(|| {
-            self.unanswered.get() < UNANSWERED_MOST && self.held_bytes.get() < HELD_BYTES_MOST
+    pub(super) async fn capacity_available(&self) {
+        self.wait_until(|| {
+            self.unanswered.get() < MAX_UNANSWERED_REQUESTS
+                && self.body_bytes.get() < MAX_PENDING_BODY_BYTES
         })
         .await;
     }
 
-    /// Waits until every request was answered.
+    /// Waits until every request is answered.
     pub(super) async fn drained(&self) {
-        self.until(|| self.unanswered.get() == 0).await;
+        self.wait_until(|| self.unanswered.get() == 0).await;
     }
 
-    async fn until(&self, done: impl Fn() -> bool) {
+    async fn wait_until(&self, done: impl Fn() -> bool) {
         future::poll_fn(|context| match done() {
             true => Poll::Ready(()),
             false => {
-                *self.waiting.borrow_mut() = Some(context.waker().clone());
+                *self.reader_waker.borrow_mut() = Some(context.waker().clone());
                 Poll::Pending
             }
         })
@@ -92,45 +94,45 @@
     }
 }
 
-/// What is written next on a connection.
-pub(super) enum Turn {
-    /// Tells the caller to send the body that it announced.
-    GoOn,
-    /// The answer to a request.
-    Answer(Answering),
+/// An entry of the write queue of a connection.
+pub(super) enum QueuedWrite {
+    /// A `100 Continue`, which tells the caller to send the body that it announced.
+    Continue,
+    /// The response to a request.
+    Response(QueuedResponse),
 }
 
-/// A request whose answer is to be written.
-pub(super) struct Answering {
-    pub(super) reply: Coming,
-    /// Whether only the head of an answer is wanted.
-    pub(super) bodyless: bool,
-    /// Whether the connection closes behind the answer.
+/// A request whose response is to be written.
+pub(super) struct QueuedResponse {
+    pub(super) reply: PendingReply,
+    /// Whether only the head of the response is written.
+    pub(super) head_only: bool,
+    /// Whether the connection closes after the response.
     pub(super) last: bool,
-    /// Length of the request's body as far as it is held.
-    pub(super) held_bytes: usize,
+    /// Number of bytes of the request's body that are kept in memory.
+    pub(super) body_bytes: usize,
     pub(super) in_flight: Rc<InFlight>,
 }
 
-/// An answer that is there or will come.
-pub(super) enum Coming {
-    /// It is there.
+/// A reply that is available or expected.
+pub(super) enum PendingReply {
+    /// The reply is available.
     Ready(Box<Reply>),
-    /// The request is under way. Dropping this ends a request that may run again.
-    Later(oneshot::Receiver<Reply>),
+    /// The request is being forwarded. Dropping this cancels an idempotent request.
+    Forwarding(oneshot::Receiver<Reply>),
 }
 
-impl Coming {
-    /// Waits for the answer; `None` when there will be none.
+impl PendingReply {
+    /// Waits for the reply; returns `None` if there will be none.
     pub(super) async fn wait(self) -> Option<Reply> {
         match self {
-            Coming::Ready(reply) => Some(*reply),
-            Coming::Later(reply) => reply.await.ok(),
+            PendingReply::Ready(reply) => Some(*reply),
+            PendingReply::Forwarding(reply) => reply.await.ok(),
         }
     }
 }
 
-/// Counts a request as in flight while it lives.
+/// Counts a request as in flight while it exists.
 pub(super) struct InFlight(Rc<Node>);
 
 impl InFlight {
@@ -146,45 +148,45 @@
     }
 }
 
-/// A request that was read whole.
+/// A request that was received completely.
 pub(super) struct Request {
     pub(super) head: h1::RequestHead,
     pub(super) body: Bytes,
-    pub(super) arrived: Instant,
+    pub(super) received_at: Instant,
     /// Whether it may run more than once.
-    pub(super) repeatable: bool,
+    pub(super) idempotent: bool,
     pub(super) in_flight: Rc<InFlight>,
 }
 
 /// Forwards a request in a task of its own.
 ///
-/// Work for a caller that left holds a slot that callers who still wait could use, so dropping what
-/// this returns cancels the request at its upstream. A request that must not run twice is left
-/// to end once it was sent: cancelling cannot undo what it did, and half of it may be worse than all
-/// of it. One that still waits for room is not sent any more.
-pub(super) fn forward(node: &Rc<Node>, request: Request) -> Coming {
-    let (mut answer, coming) = oneshot::channel();
+/// Dropping the returned value, as when the caller disconnects, cancels the request at its upstream:
+/// it would occupy a slot that callers who still wait could use. A request that must not run twice
+/// is left to finish once it was sent: cancelling cannot undo what it did, and a half-done request
+/// may be worse than a complete one. If it still waits for capacity, it is not sent any more.
+pub(super) fn forward(node: &Rc<Node>, request: Request) -> PendingReply {
+    let (mut sender, receiver) = oneshot::channel();
     let node = node.clone();
     monoio::spawn(async move {
-        let Request { head, body, arrived, repeatable, in_flight } = request;
-        let caller = Caller::waiting_since(arrived);
+        let Request { head, body, received_at, idempotent, in_flight } = request;
+        let caller = Caller::waiting_since(received_at);
         let left = caller.left.clone();
         let mut forwarding = pin!(node.forward(&head, Body::Whole(body), caller));
         let reply = monoio::select! {
             reply = &mut forwarding => Some(reply),
-            () = answer.closed() => {
+            () = sender.closed() => {
                 left.set(true);
-                if !repeatable {
+                if !idempotent {
                     forwarding.await;
                 }
                 None
             }
         };
-        let taken = reply.is_some_and(|reply| answer.send(reply).is_ok());
-        if !taken {
+        let delivered = reply.is_some_and(|reply| sender.send(reply).is_ok());
+        if !delivered {
             node.caller_left(&head);
         }
         drop(in_flight);
     });
-    Coming::Later(coming)
+    PendingReply::Forwarding(receiver)
 }
--- /dev/null
+++ b/crates/edge/src/serve/requests.rs
@@ -0,0 +1,304 @@
+//! Reads the requests of one connection and starts them.
+
+use std::future::{self, Future};
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use bytes::{Bytes, BytesMut};
+use http::{Method, StatusCode};
+use local_sync::mpsc::unbounded;
+use web::h1;
+
+use super::pipeline::{
+    self, InFlight, PendingReply, Pipeline, QueuedResponse, QueuedWrite, Request,
+};
+use crate::forward::{Body, Caller, Node, Reply};
+use crate::reply::LocalReply;
+
+/// Request bodies up to this size are received completely before the request is forwarded, so that
+/// it can be sent again; longer ones are streamed.
+const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
+
+/// Maximum number of bytes received from a caller and not yet parsed as requests. A caller that sends
+/// more is slowed down by TCP flow control.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
+
+/// Time for which a connection stays open beyond its idle timeout, for requests sent just before the
+/// timeout that would otherwise cross the close on the wire.
+const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(500);
+
+/// The reading half of a connection.
+pub(super) struct RequestReader<'a> {
+    pub(super) reader: &'a mut h1::Reader,
+    pub(super) writes: unbounded::Tx<QueuedWrite>,
+    pub(super) pipeline: &'a Pipeline,
+    pub(super) node: &'a Rc<Node>,
+}
+
+/// The caller has disconnected or was idle for too long: it does not wait for responses any more.
+struct Disconnected;
+
+/// The result of reading a request's head.
+enum NextRequest {
+    /// The head, and when its last byte was received.
+    Head(Box<h1::RequestHead>, Instant),
+    /// The request cannot be served; the connection closes after this response.
+    Rejected(LocalReply),
+}
+
+impl RequestReader<'_> {
+    /// Reads requests and starts them until the caller disconnects.
+    ///
+    /// Once this returns, idempotent requests in flight may be cancelled.
+    pub(super) async fn run(mut self) {
+        while let Ok(true) = self.handle_next().await {}
+    }
+
+    /// Reads and starts one request; returns false if no further one may follow on this connection.
+    async fn handle_next(&mut self) -> Result<bool, Disconnected> {
+        self.wait_for_capacity().await?;
+        let (head, received_at) = match self.read_head().await? {
+            NextRequest::Head(head, received_at) => (head, received_at),
+            NextRequest::Rejected(local_reply) => return self.reject(local_reply, false).await,
+        };
+        let in_flight = InFlight::start(self.node);
+        let limits = limits(self.node);
+        let mut decoder = h1::Decoder::new(head.framing);
+        if matches!(head.framing, h1::Framing::Length(l) if l > limits.body_bytes) {
+            let local_reply =
+                LocalReply::failed(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
+            return self.reject(local_reply, head.method == Method::HEAD).await;
+        }
+        if expects_continue(&head) && !decoder.is_done() {
+            // `100 Continue` must follow the responses to earlier requests. The timeout for the body
+            // starts only then, because the caller does not send the body before.
+            self.wait_until_drained().await?;
+            let _ = self.writes.send(QueuedWrite::Continue);
+        }
+        let body = match read_body_start(self.reader, &mut decoder, limits.header_timeout).await {
+            Ok(Some(body)) => body,
+            Ok(None) => return Err(Disconnected),
+            Err(local_reply) => return self.reject(local_reply, head.method == Method::HEAD).await,
+        };
+        let idempotent = is_idempotent(&head, self.node);
+        let exclusive = !idempotent || !decoder.is_done();
+        if exclusive {
+            self.wait_until_drained().await?;
+        }
+        if self.pipeline.is_closing() {
+            return self.wait_for_disconnect().await;
+        }
+        let (head_only, body_bytes) = (head.method == Method::HEAD, body.len());
+        let mut last = !head.keep_alive;
+        self.pipeline.request_started(body_bytes);
+        let reply = match decoder.is_done() {
+            true => {
+                let in_flight = in_flight.clone();
+                let request = Request { head: *head, body, received_at, idempotent, in_flight };
+                pipeline::forward(self.node, request)
+            }
+            false => {
+                let long = Body::Long { first: body, reader: self.reader, decoder: &mut decoder };
+                let reply =
+                    self.node.forward(&head, long, Caller::waiting_since(received_at)).await;
+                // The unread rest of a body would be parsed as the next request.
+                last |= !decoder.is_done();
+                PendingReply::Ready(Box::new(reply))
+            }
+        };
+        // Fails only if the writing half, and with it the connection, has ended.
+        let _ = self.writes.send(QueuedWrite::Response(QueuedResponse {
+            reply,
+            head_only,
+            last,
+            body_bytes,
+            in_flight,
+        }));
+        match () {
+            () if last => self.wait_for_disconnect().await,
+            () if exclusive => self.wait_until_drained().await.map(|()| true),
+            () => Ok(true),
+        }
+    }
+
+    /// Answers a request that cannot be served; nothing after it is parsed as a request.
+    async fn reject(
+        &mut self,
+        local_reply: LocalReply,
+        head_only: bool,
+    ) -> Result<bool, Disconnected> {
+        self.pipeline.request_started(0);
+        let _ = self.writes.send(QueuedWrite::Response(QueuedResponse {
+            reply: PendingReply::Ready(Box::new(Reply::Own(local_reply))),
+            head_only,
+            last: true,
+            body_bytes: 0,
+            in_flight: InFlight::start(self.node),
+        }));
+        self.wait_for_disconnect().await
+    }
+
+    /// Waits until a further request may be read. A stopping node starts none while others are in
+    /// flight, so that it gets to a response after which it can close the connection.
+    async fn wait_for_capacity(&mut self) -> Result<(), Disconnected> {
+        let (pipeline, stopping) = (self.pipeline, self.node.state.borrow().stopping.is_some());
+        match stopping {
+            true => self.wait_while_connected(pipeline.drained()).await,
+            false => self.wait_while_connected(pipeline.capacity_available()).await,
+        }
+    }
+
+    async fn wait_until_drained(&mut self) -> Result<(), Disconnected> {
+        let pipeline = self.pipeline;
+        self.wait_while_connected(pipeline.drained()).await
+    }
+
+    /// Waits for `done`, unless the caller disconnects first.
+    async fn wait_while_connected(
+        &mut self,
+        done: impl Future<Output = ()>,
+    ) -> Result<(), Disconnected> {
+        let mut done = pin!(done);
+        loop {
+            if self.reader.buffered_bytes() >= MAX_READ_AHEAD_BYTES {
+                done.await;
+                return Ok(());
+            }
+            monoio::select! {
+                // Polled first, so that nothing is read if `done` is ready already.
+                biased;
+                () = &mut done => return Ok(()),
+                more = self.reader.fill() => match more {
+                    Ok(true) => {}
+                    Ok(false) | Err(_) => return Err(Disconnected),
+                },
+            }
+        }
+    }
+
+    /// Waits until the caller disconnects; what it still sends is not parsed as requests.
+    async fn wait_for_disconnect(&mut self) -> Result<bool, Disconnected> {
+        self.wait_while_connected(future::pending()).await.map(|()| false)
+    }
+
+    /// Reads the next request's head.
+    async fn read_head(&mut self) -> Result<NextRequest, Disconnected> {
+        if !self.reader.has_buffered() {
+            self.wait_for_bytes().await?;
+        }
+        let limits = limits(self.node);
+        let reading = self.reader.request_head(limits.header_bytes);
+        match monoio::time::timeout(limits.header_timeout, reading).await {
+            Ok(Ok(head)) => Ok(NextRequest::Head(Box::new(head), self.reader.receive_time())),
+            Ok(Err(h1::ReadError::Malformed(err))) => {
+                trace::Line::new("bad_request").field("error", err.to_string()).log();
+                Ok(NextRequest::Rejected(LocalReply::failed(
+                    err.status(),
+                    "the request cannot be read",
+                )))
+            }
+            Ok(Err(h1::ReadError::Closed | h1::ReadError::Io(_))) => Err(Disconnected),
+            Err(_) => {
+                let text = "the request took too long to arrive";
+                Ok(NextRequest::Rejected(LocalReply::failed(StatusCode::REQUEST_TIMEOUT, text)))
+            }
+        }
+    }
+
+    /// Waits for the first byte of a request. The idle timeout starts when the last response is
+    /// written.
+    async fn wait_for_bytes(&mut self) -> Result<(), Disconnected> {
+        self.wait_until_drained_or_bytes().await?;
+        match self.reader.has_buffered() || wait_idle(self.reader, self.node).await {
+            true => Ok(()),
+            false => Err(Disconnected),
+        }
+    }
+
+    async fn wait_until_drained_or_bytes(&mut self) -> Result<(), Disconnected> {
+        let pipeline = self.pipeline;
+        monoio::select! {
+            biased;
+            () = pipeline.drained() => Ok(()),
+            more = self.reader.fill() => match more {
+                Ok(true) => Ok(()),
+                Ok(false) | Err(_) => Err(Disconnected),
+            },
+        }
+    }
+}
+
+fn limits(node: &Node) -> route::ClientLimits {
+    node.state.borrow().table.as_ref().map_or_else(Default::default, |table| table.limits)
+}
+
+fn expects_continue(head: &h1::RequestHead) -> bool {
+    let expects = head.headers.get(http::header::EXPECT);
+    expects.is_some_and(|expects| expects.as_bytes().eq_ignore_ascii_case(b"100-continue"))
+}
+
+/// Returns true if the request's route allows repeated execution. While the node has no
+/// configuration, no route is known, and the request counts as not idempotent.
+fn is_idempotent(head: &h1::RequestHead, node: &Node) -> bool {
+    let state = node.state.borrow();
+    let table = state.table.as_ref();
+    let route = table.and_then(|table| table.find(&head.host, head.path()));
+    route.is_some_and(|route| route.retry_policy == route::RetryPolicy::Idempotent)
+}
+
+/// Waits for the first byte of a request; returns false if none arrives within the idle timeout.
+///
+/// The idle timeout may change while a connection is idle. The longer of the old and the new one
+/// applies: the caller may know only one of them, and would lose a request to an unexpected close.
+async fn wait_idle(reader: &mut h1::Reader, node: &Rc<Node>) -> bool {
+    let since = Instant::now();
+    let mut max_idle = limits(node).idle_timeout + IDLE_TIMEOUT_SLACK;
+    loop {
+        let left = (since + max_idle).saturating_duration_since(Instant::now());
+        match monoio::time::timeout(left, reader.fill()).await {
+            Ok(Ok(true)) => return true,
+            Ok(Ok(false) | Err(_)) => return false,
+            Err(_) => {
+                let new_max_idle = limits(node).idle_timeout + IDLE_TIMEOUT_SLACK;
+                if new_max_idle <= max_idle {
+                    return false;
+                }
+                max_idle = new_max_idle;
+            }
+        }
+    }
+}
+
+/// Reads a body, or its first [`MAX_BUFFERED_BODY_BYTES`]; returns `None` if the caller has
+/// disconnected.
+async fn read_body_start(
+    reader: &mut h1::Reader,
+    decoder: &mut h1::Decoder,
+    timeout: Duration,
+) -> Result<Option<Bytes>, LocalReply> {
+    if decoder.is_done() {
+        return Ok(Some(Bytes::new()));
+    }
+    let reading = async {
+        let mut body = BytesMut::new();
+        while !decoder.is_done() && body.len() < MAX_BUFFERED_BODY_BYTES {
+            match reader.body_piece(decoder).await? {
+                Some(piece) => body.extend_from_slice(&piece),
+                None => break,
+            }
+        }
+        Ok(body.freeze())
+    };
+    match monoio::time::timeout(timeout, reading).await {
+        Ok(Ok(body)) => Ok(Some(body)),
+        Ok(Err(h1::ReadError::Malformed(err))) => {
+            trace::Line::new("bad_request").field("error", err.to_string()).log();
+            Err(LocalReply::failed(err.status(), "the body cannot be read"))
+        }
+        Ok(Err(h1::ReadError::Closed | h1::ReadError::Io(_))) => Ok(None),
+        Err(_) => {
+            Err(LocalReply::failed(StatusCode::REQUEST_TIMEOUT, "the body took too long to arrive"))
+        }
+    }
+}
--- a/crates/edge/src/serve/answer.rs
+++ b/crates/edge/src/serve/responses.rs
@@ -1,4 +1,4 @@
-//! Writing answers to callers, in the order of their requests.
+//! Writes responses to callers, in the order of their requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,65 +9,75 @@
 use local_sync::mpsc::unbounded;
 use web::h1;
 
-use super::pipeline::{Answering, Pipeline, Turn};
-use super::End;
+use super::pipeline::{Pipeline, QueuedResponse, QueuedWrite};
+use super::ConnectionEnd;
 use crate::exchange::{Answer, AnswerBody};
 use crate::forward::{Node, Reply};
-use crate::reply::Own;
+use crate::reply::LocalReply;
 
-/// Time for a caller to take in a piece of a long answer.
+/// Timeout for each piece of a long response: to receive it from the upstream, and to write it to
+/// the caller.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Writes the answers of a connection until one of them closes it or the caller is gone.
+/// Writes the responses of a connection until one of them closes it or the caller disconnects.
 ///
-/// Answers that are ready wait for those before them: whole ones in memory, long ones at their
-/// upstream, whose window fills.
+/// A response that is ready before its predecessors waits for them: a complete one in memory, a long
+/// one at its upstream, which is stopped by TCP flow control.
 pub(super) async fn write_all(
     writer: &mut h1::Writer,
-    mut turns: unbounded::Rx<Turn>,
+    mut writes: unbounded::Rx<QueuedWrite>,
     pipeline: &Pipeline,
     node: &Rc<Node>,
-) -> End {
-    while let Some(turn) = turns.recv().await {
-        let Turn::Answer(answering) = turn else {
-            let go_on = h1::write_response(StatusCode::CONTINUE, &HeaderMap::new());
-            match writer.write(go_on).await {
+) -> ConnectionEnd {
+    while let Some(queued) = writes.recv().await {
+        let QueuedWrite::Response(response) = queued else {
+            let continue_response = h1::write_response(StatusCode::CONTINUE, &HeaderMap::new());
+            match writer.write(continue_response).await {
                 Ok(()) => continue,
-                Err(_) => return End::Gone,
+                Err(_) => return ConnectionEnd::Disconnected,
             }
         };
-        let Answering { reply, bodyless, last, held_bytes, in_flight } = answering;
-        let Some(reply) = reply.wait().await else { return End::Gone };
-        // What was passed on to upstreams behind this request is still answered: closed now, its
-        // callers would not know whether it ran.
+        let QueuedResponse { reply, head_only, last, body_bytes, in_flight } = response;
+        let Some(reply) = reply.wait().await else { return ConnectionEnd::Disconnected };
+        // A stopping node closes only behind the last request in flight: the caller would not know
+        // whether the requests after this one, already sent to upstreams, have run.
         let stopping = node.state.borrow().stopping.is_some();
         let close = last || (stopping && pipeline.unanswered() == 1);
         if close {
-            pipeline.close();
+            pipeline.set_closing();
         }
         let written = match reply {
-            Reply::Upstream(answer) => write_answer(writer, answer, bodyless, close).await,
-            Reply::Own(own) => write_own(writer, &own, bodyless, close).await,
+            Reply::Upstream(response) => {
+                write_upstream_response(writer, response, head_only, close).await
+            }
+            Reply::Own(local_reply) => {
+                write_local_reply(writer, &local_reply, head_only, close).await
+            }
         };
         drop(in_flight);
-        pipeline.answered(held_bytes);
+        pipeline.response_written(body_bytes);
         match () {
-            () if !written => return End::Gone,
-            () if close => return End::Linger,
+            () if !written => return ConnectionEnd::Disconnected,
+            () if close => return ConnectionEnd::Linger,
             () => {}
         }
     }
-    // Nothing more is read, and everything is answered.
-    End::Gone
+    // No more requests are read, and all are answered.
+    ConnectionEnd::Disconnected
 }
 
-/// Writes an answer of the node's own; false when the caller is gone.
-async fn write_own(writer: &mut h1::Writer, own: &Own, bodyless: bool, close: bool) -> bool {
-    let (mut headers, body) = own.parts();
+/// Writes a response made by the node itself; returns false if the caller has disconnected.
+async fn write_local_reply(
+    writer: &mut h1::Writer,
+    local_reply: &LocalReply,
+    head_only: bool,
+    close: bool,
+) -> bool {
+    let (mut headers, body) = local_reply.parts();
     headers.insert(CONTENT_LENGTH, HeaderValue::from(body.len()));
     set_close(&mut headers, close);
-    let mut bytes = h1::write_response(own.status, &headers);
-    if !bodyless {
+    let mut bytes = h1::write_response(local_reply.status, &headers);
+    if !head_only {
         bytes.extend_from_slice(&body);
     }
     writer.write(bytes).await.is_ok()
@@ -79,24 +89,25 @@
     }
 }
 
-/// Writes an upstream's answer; false when the caller is gone or the answer is cut off.
-async fn write_answer(
+/// Writes an upstream's response; returns false if the caller has disconnected or the response is
+/// cut off.
+async fn write_upstream_response(
     writer: &mut h1::Writer,
-    answer: Answer,
-    bodyless: bool,
+    response: Answer,
+    head_only: bool,
     close: bool,
 ) -> bool {
-    let Answer { head, body } = answer;
-    let stated_length = head.headers.get(CONTENT_LENGTH).cloned();
+    let Answer { head, body } = response;
+    let declared_length = head.headers.get(CONTENT_LENGTH).cloned();
     let mut headers = head.headers;
     web::strip_connection_headers(&mut headers);
     set_close(&mut headers, close);
-    let lengthless = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+    let omits_length = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     match body {
         AnswerBody::Whole(body) => {
-            let length = match stated_length {
-                Some(stated) if bodyless => Some(stated),
-                _ if lengthless => None,
+            let length = match declared_length {
+                Some(declared) if head_only => Some(declared),
+                _ if omits_length => None,
                 _ => Some(HeaderValue::from(body.len())),
             };
             if let Some(length) = length {
@@ -115,13 +126,14 @@
                 _ => headers.insert(TRANSFER_ENCODING, HeaderValue::from_static("chunked")),
             };
             let bytes = h1::write_response(head.status, &headers);
-            write_long(writer, bytes, first, decoder, *conn, chunked).await
+            stream_response(writer, bytes, first, decoder, *conn, chunked).await
         }
     }
 }
 
-/// Passes a long answer on piece by piece; one that is cut off is left without its end.
-async fn write_long(
+/// Streams a long response to the caller. If it is cut off, the caller does not receive its end
+/// either; returns false then, and if the caller has disconnected.
+async fn stream_response(
     writer: &mut h1::Writer,
     mut bytes: Vec<u8>,
     first: Bytes,
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -1,4 +1,4 @@
-//! What one entry node currently believes.
+//! The state of one entry node.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -17,90 +17,93 @@
 use crate::history::Cursor;
 use crate::Settings;
 
-/// The state, shared by the tasks of the node's one thread.
-pub type Shared = Rc<RefCell<State>>;
+/// The state, shared by the tasks of the node's single thread.
+pub type SharedState = Rc<RefCell<State>>;
 
-/// Part of the allowed ratio of second sends that a node uses. Each uses only what its own first
-/// sends have earned it, so that nodes that start or stop midway through a window do not add up to
-/// more, and what all have saved fits into the slack; the rest is for windows that begin between a
-/// first send and what it earned.
-const RETRY_RATIO_PART: f64 = 0.95;
+/// Fraction of the allowed ratio of second sends that a node uses.
+///
+/// A node spends only what its own first sends have deposited. Nodes that start or stop midway
+/// through a window therefore do not add up to more than the ratio, and the balances of all nodes
+/// fit into the slack. The remainder covers windows that begin between a first send and the second
+/// send that it paid for.
+const RETRY_RATIO_FACTOR: f64 = 0.95;
 
-/// The same where there are so many nodes that one second send saved by each is more than the slack.
-const RETRY_RATIO_PART_LITTLE_SLACK: f64 = 0.8;
+/// Replaces [`RETRY_RATIO_FACTOR`] when there are more nodes than the slack has second sends, so
+/// that a balance of one at each node exceeds the slack.
+const RETRY_RATIO_FACTOR_LOW_SLACK: f64 = 0.8;
 
-/// Added before percents are rounded down: 0.2 x 0.95 may be a little under 19.
-const ROUNDING: f64 = 0.001;
+/// Added before a percentage is rounded down: 0.2 x 0.95 may come out slightly below 19 %.
+const PERCENT_EPSILON: f64 = 0.001;
 
-/// Part of the fleet's slack that all nodes together use.
-const RETRY_SLACK_PART: f64 = 0.5;
+/// Fraction of the fleet's slack that all nodes together use.
+const RETRY_SLACK_FACTOR: f64 = 0.5;
 
-/// Most second sends that a node may save up.
-const RETRY_BURST_MOST: f64 = 4.0;
+/// Maximum balance of a node's retry budget, in second sends.
+const MAX_RETRY_BURST: f64 = 4.0;
 
-/// For how long no hedge is sent after a second send that the budget did not allow. A request that
-/// was refused by its upstream is lost without one; a hedged one is at worst late.
-const HEDGES_YIELD_FOR: Duration = Duration::from_secs(1);
+/// Time without hedges after the budget rejected a second send. A request that its upstream refused
+/// fails without a second send, whereas a request without a hedge is at worst late.
+const HEDGE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// What is known of another entry node.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Its availability zone.
     pub zone: SmolStr,
-    /// What membership believes of it.
+    /// Its state according to the membership protocol.
     pub standing: wire::Standing,
-    /// Newest change of the configuration that it has seen; 0 when it cannot serve yet.
+    /// Newest change of the configuration that it has read; 0 while it cannot serve yet.
     pub config_head: Cursor,
-    /// Newest change of the list of upstreams that it has seen.
+    /// Newest change of the list of upstreams that it has read.
     pub list_head: Cursor,
-    /// Whether it has told this node itself how much it has seen, since it started.
-    pub heard: bool,
+    /// Whether the peer itself has sent its heads to this node since the peer started.
+    pub heads_received: bool,
 }
 
 impl Peer {
-    /// Returns true when it serves, or may: it lives and has not said that it holds nothing.
+    /// Returns true when the peer serves or may serve: it is alive and has not reported that it has
+    /// no configuration.
     ///
-    /// In a fleet of hundreds that started a few seconds ago a node has heard of all others but from
-    /// few of them. Taking only the latter for readers, each sees other readers: 126 of 312 nodes
-    /// read the platform themselves 3.5 s after their start.
+    /// A few seconds after the start of a fleet of hundreds, a node knows all peers but has received
+    /// messages from few of them. If only those counted, each node would choose other readers: 126 of
+    /// 312 nodes read the platform themselves 3.5 s after their start.
     pub fn may_serve(&self) -> bool {
-        self.standing == wire::Standing::Alive && (self.config_head > 0 || !self.heard)
+        self.standing == wire::Standing::Alive && (self.config_head > 0 || !self.heads_received)
     }
 }
 
-/// A planned stop that is under way.
+/// A graceful stop in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Stopping {
-    /// When it was asked for.
-    pub asked_at: Instant,
-    /// When the process ends, whatever is still under way.
-    pub ends_at: Instant,
+    /// When the stop was requested.
+    pub requested_at: Instant,
+    /// When the process exits, even with requests in flight.
+    pub exits_at: Instant,
 }
 
 impl Stopping {
-    /// Returns true when a request that may take until `deadline` must not be taken on any more.
+    /// Returns true when a request that may take until `deadline` must not be accepted any more.
     ///
-    /// A request that is cut when the process ends may have run, and its
-    /// caller learns nothing; refused at once, it is served by another node.
-    /// In the first half of the grace every request is taken on: callers
-    /// still hold this node's address, and most requests take far less than
-    /// their deadline.
-    pub fn is_too_late(&self, deadline: Instant, now: Instant) -> bool {
-        let half = self.asked_at + (self.ends_at - self.asked_at) / 2;
-        now > half && deadline > self.ends_at
+    /// A request that is cut off when the process exits may have run, and its caller cannot tell;
+    /// if it is refused at once, another node serves it. In the first half of the grace period
+    /// every request is accepted: callers still have this node's address cached, and most requests
+    /// take far less than their deadline.
+    pub fn must_reject(&self, deadline: Instant, now: Instant) -> bool {
+        let half = self.requested_at + (self.exits_at - self.requested_at) / 2;
+        now > half && deadline > self.exits_at
     }
 }
 
-/// How much of a topic's history a node has seen.
+/// How far a node has read a topic's history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    /// Everything up to here was read.
+pub struct ReadProgress {
+    /// The node has read everything up to this cursor.
     pub up_to: Cursor,
-    /// The newest change among it.
+    /// The newest change that was read.
     pub newest: Cursor,
-    /// Whether anything was read at all: the history of an empty store ends at 0.
-    pub read: bool,
-    /// As of when that is everything.
+    /// Whether any read has completed: the history of an empty store ends at 0.
+    pub has_read: bool,
+    /// When the node last knew that there was nothing newer.
     pub lease: lease::Lease,
 }
 
@@ -113,13 +116,13 @@
     pub answered: u64,
     /// Requests refused because no upstream could serve them in time.
     pub refused: u64,
-    /// Requests that may have run and got no answer.
+    /// Requests that may have run and got no response.
     pub failed: u64,
-    /// Requests whose caller left.
+    /// Requests whose caller disconnected.
     pub abandoned: u64,
-    /// Sends after the first of a request, hedges included.
+    /// Second sends: every send of a request after its first, hedges included.
     pub second_sends: u64,
-    /// Second sends that the budget did not allow.
+    /// Second sends that the retry budget rejected.
     pub second_sends_over_budget: u64,
     /// Hedges sent.
     pub hedges: u64,
@@ -129,124 +132,124 @@
     pub connects: u64,
     /// Reads that the platform answered.
     pub reads: u64,
-    /// Reads that the platform did not answer, or not soundly.
+    /// Reads that the platform did not answer, or answered with invalid data.
     pub reads_failed: u64,
     /// Sends to upstreams of another zone.
     pub far_sends: u64,
-    /// Upstreams that were found to have ended under requests of this node.
+    /// Upstreams found to have crashed or stopped while they had requests of this node.
     pub upstreams_ended: u64,
-    /// Requests refused since they crash upstreams.
+    /// Requests refused because they crash upstreams.
     pub refused_crashing: u64,
-    /// Bytes of membership sent, headers of UDP not counted.
+    /// Bytes of membership packets sent, without UDP headers.
     pub membership_bytes: u64,
-    /// Those of them that went to another zone.
+    /// Part of `membership_bytes` sent to other zones.
     pub membership_far_bytes: u64,
-    /// Bytes of configurations and lists passed on to peers, headers of TCP not counted.
+    /// Bytes of configurations and lists relayed to peers, without TCP headers.
     pub relay_bytes: u64,
-    /// Those of them that went to another zone.
+    /// Part of `relay_bytes` sent to other zones.
     pub relay_far_bytes: u64,
 }
 
-/// What is counted of the sends to one service.
+/// Rate and retry budget of the sends to one service.
 struct Sends {
-    /// First sends.
+    /// Rate of first sends.
     rate: place::Rate,
-    /// Second sends.
+    /// Budget for second sends.
     budget: limit::RetryBudget,
-    /// When there was none left for a request that had no send under way.
-    short_at: Option<Instant>,
+    /// When the budget last rejected a request that had no other send in flight.
+    exhausted_at: Option<Instant>,
 }
 
-/// The entry node's beliefs.
+/// The entry node's view of the platform, its peers and its upstreams.
 pub struct State {
-    /// What it was told at start.
+    /// Settings, from the start or the last reload.
     pub settings: Settings,
     /// The configuration in force; `None` before the first.
     pub table: Option<Rc<route::Table>>,
-    /// When it was taken.
-    pub table_since: Instant,
-    /// Which upstreams there are.
+    /// When it was put in force.
+    pub table_applied_at: Instant,
+    /// The platform's list of upstreams.
     pub roster: place::Roster,
     /// Which availability zones are evacuated.
     pub evacuations: place::Evacuations,
-    /// Upstreams by service, as they were found to be.
+    /// Upstreams by service, with their observed load and failures.
     pub pools: HashMap<ServiceName, place::Pool>,
-    /// What each kind of request takes.
-    pub works: place::WorkEstimates,
-    /// Deadlines that callers state, by kind of request.
-    pub attempts: place::RetryDetector,
-    /// Upstreams that ended of late, and the requests that were under way there.
-    pub ends: quarantine::CrashDetector,
-    /// Requests that crash upstreams.
+    /// Estimated work and size per kind of request.
+    pub work_estimates: place::WorkEstimates,
+    /// Recognizes callers' retries by the deadlines that they state, per kind of request.
+    pub retry_detector: place::RetryDetector,
+    /// Recently ended upstreams and the requests that were in flight there.
+    pub crash_detector: quarantine::CrashDetector,
+    /// Requests that crashed upstreams.
     pub quarantine: quarantine::Quarantine,
-    /// What upstreams have stated about themselves.
-    pub notices: notice::Backpressure,
-    /// Second sends allowed, by service.
+    /// Limits, leaving and backoff that upstreams have stated.
+    pub backpressure: notice::Backpressure,
+    /// Send rates and retry budgets by service.
     sends: HashMap<ServiceName, Sends>,
-    /// Configurations that may have no record yet.
+    /// Configurations that may have no audit record yet.
     pub unrecorded: crate::record::Unrecorded,
-    /// Whose turn it is at each split route.
-    pub turns: HashMap<RouteName, route::WeightedRoundRobin>,
-    /// How much of the configuration's history was seen.
-    pub config_seen: Seen,
-    /// How much of the list's history was seen.
-    pub list_seen: Seen,
-    /// How often this node has seen, of either topic, that the platform came back from an older copy:
-    /// what was written there a moment before is gone.
-    pub times_gone_back: u32,
+    /// Choice of the next target, by route with several targets.
+    pub round_robins: HashMap<RouteName, route::WeightedRoundRobin>,
+    /// How far the configuration's history was read.
+    pub config_progress: ReadProgress,
+    /// How far the list's history was read.
+    pub list_progress: ReadProgress,
+    /// Number of store rollbacks detected in either topic. The platform was restored from an older
+    /// copy each time, and its most recent writes were lost.
+    pub store_rollbacks: u32,
     /// Other entry nodes.
     pub peers: BTreeMap<SocketAddr, Peer>,
     /// When the process started.
     pub started_at: Instant,
     /// Whether this node reads the platform itself, not through a peer.
-    pub direct: bool,
-    /// Whether the platform itself has told of the upstreams since this node reads it.
-    pub list_is_own: bool,
-    /// The peer that passes on what it reads, while there is one.
-    pub reads_through: Option<SocketAddr>,
-    /// Whether the platform took this node's newest connections.
-    pub reaches_platform: bool,
+    pub reads_directly: bool,
+    /// Whether this node has read the list from the platform itself since it began to read directly.
+    pub list_from_platform: bool,
+    /// The peer that this node currently reads the platform through.
+    pub relay_peer: Option<SocketAddr>,
+    /// Whether the platform accepted this node's most recent connections.
+    pub platform_reachable: bool,
     /// Set once the node is stopping.
     pub stopping: Option<Stopping>,
-    /// Requests read and not answered yet.
+    /// Requests read from callers and not answered yet.
     pub in_flight: u64,
-    /// Randomness of all decisions.
+    /// Random number generator for all decisions.
     pub rng: SmallRng,
-    /// Number of this life of the node, for choices that must differ between nodes.
+    /// Random number of this process, for choices that must differ between nodes.
     node_seed: u64,
     /// Counters since start.
     pub counters: Counters,
 }
 
 impl State {
-    /// Creates the state of a node that knows nothing yet.
+    /// Creates the state of a node that has not read anything yet.
     pub fn new(settings: Settings) -> State {
-        let direct = !crate::readers::begins_with_seeds(&settings);
+        let reads_directly = !crate::readers::begins_with_seeds(&settings);
         let node_seed = rand::random();
         State {
             settings,
             table: None,
-            table_since: Instant::now(),
+            table_applied_at: Instant::now(),
             roster: place::Roster::default(),
             evacuations: place::Evacuations::default(),
             pools: HashMap::new(),
-            works: place::WorkEstimates::default(),
-            attempts: place::RetryDetector::default(),
-            ends: quarantine::CrashDetector::default(),
+            work_estimates: place::WorkEstimates::default(),
+            retry_detector: place::RetryDetector::default(),
+            crash_detector: quarantine::CrashDetector::default(),
             quarantine: quarantine::Quarantine::default(),
-            notices: notice::Backpressure::with_node_seed(node_seed),
+            backpressure: notice::Backpressure::with_node_seed(node_seed),
             sends: HashMap::new(),
             unrecorded: crate::record::Unrecorded::default(),
-            turns: HashMap::new(),
-            config_seen: Seen::default(),
-            list_seen: Seen::default(),
-            times_gone_back: 0,
+            round_robins: HashMap::new(),
+            config_progress: ReadProgress::default(),
+            list_progress: ReadProgress::default(),
+            store_rollbacks: 0,
             peers: BTreeMap::new(),
             started_at: Instant::now(),
-            direct,
-            list_is_own: false,
-            reads_through: None,
-            reaches_platform: true,
+            reads_directly,
+            list_from_platform: false,
+            relay_peer: None,
+            platform_reachable: true,
             stopping: None,
             in_flight: 0,
             rng: SmallRng::from_os_rng(),
@@ -255,8 +258,8 @@
         }
     }
 
-    /// Takes on what may change about the settings of a running process. Names and addresses may
-    /// not: sockets are bound and peers know them.
+    /// Applies the settings that may change while the process runs. Names and the node's own
+    /// addresses may not change: sockets are bound to them and peers know the node by them.
     pub fn reload(&mut self, settings: Settings) {
         let own = &mut self.settings;
         own.seed_addrs = settings.seed_addrs;
@@ -266,7 +269,7 @@
         own.stop_grace = settings.stop_grace;
         own.retry_ratio = settings.retry_ratio;
         own.retry_slack = settings.retry_slack;
-        own.probes_per_upstream_s = settings.probes_per_upstream_s;
+        own.max_probes_per_upstream_per_s = settings.max_probes_per_upstream_per_s;
         own.cross_zone_cost_per_kib = settings.cross_zone_cost_per_kib;
     }
 
@@ -275,28 +278,30 @@
         self.table.as_ref().map_or(0, |table| table.version)
     }
 
-    /// Returns true when the node can serve callers and is not about to stop.
+    /// Returns true when the node can serve callers and is not stopping.
     pub fn is_ready(&self) -> bool {
         self.table.is_some() && !self.roster.is_empty() && self.stopping.is_none()
     }
 
-    /// Returns the number of entry nodes that are alive, this one included.
+    /// Returns the number of entry nodes that are alive or suspect, this one included.
     pub fn fleet_size(&self) -> usize {
         1 + self.peers.values().filter(|p| p.standing <= wire::Standing::Suspect).count()
     }
 
-    /// Returns how many entry nodes may send requests: those that are not heard from too, since they may
-    /// only be cut off from this one. `None` while this node has just started and knows few of them.
-    pub fn nodes_sending(&self, now: Instant) -> Option<usize> {
+    /// Returns how many entry nodes may be sending requests, this one included.
+    ///
+    /// Counts unreachable peers too: they may only be partitioned from this node. `None` while this
+    /// node has just started and knows few of them.
+    pub fn possible_sender_count(&self, now: Instant) -> Option<usize> {
         let may_send = |peer: &&Peer| peer.standing != wire::Standing::Left;
         let sending = 1 + self.peers.values().filter(may_send).count();
         crate::readers::knows_peers(self, now).then_some(sending)
     }
 
-    /// Returns what the cold upstreams of a service bear.
+    /// Returns the rate that cold upstreams of a service can take; `None` if it has no such limit.
     pub fn warm_up(&self, service: &str, now: Instant) -> Option<place::WarmUp> {
         let service = self.table.as_ref()?.services.get(service)?;
-        let (node_count, since) = (self.nodes_sending(now), self.started_at);
+        let (node_count, since) = (self.possible_sender_count(now), self.started_at);
         service.warm_up_per_s.map(|requests_per_s| place::WarmUp {
             requests_per_s,
             node_count,
@@ -304,77 +309,77 @@
         })
     }
 
-    /// Returns what was seen of a topic.
-    pub fn seen_mut(&mut self, topic: Topic) -> &mut Seen {
+    /// Returns how far a topic was read, for updates.
+    pub fn progress_mut(&mut self, topic: Topic) -> &mut ReadProgress {
         match topic {
-            Topic::Config => &mut self.config_seen,
-            Topic::Upstreams => &mut self.list_seen,
+            Topic::Config => &mut self.config_progress,
+            Topic::Upstreams => &mut self.list_progress,
         }
     }
 
-    /// Returns what was seen of a topic.
-    pub fn seen(&self, topic: Topic) -> &Seen {
+    /// Returns how far a topic was read.
+    pub fn progress(&self, topic: Topic) -> &ReadProgress {
         match topic {
-            Topic::Config => &self.config_seen,
-            Topic::Upstreams => &self.list_seen,
+            Topic::Config => &self.config_progress,
+            Topic::Upstreams => &self.list_progress,
         }
     }
 
     /// Returns the time within which changes of a topic must be in force.
-    pub fn bound(&self, topic: Topic) -> lease::StalenessBound {
+    pub fn staleness_bound(&self, topic: Topic) -> lease::StalenessBound {
         match topic {
             Topic::Config => self.settings.config_bound,
             Topic::Upstreams => self.settings.list_bound,
         }
     }
 
-    /// Returns true while what was read of a topic may be relied on.
-    pub fn is_sure(&self, topic: Topic, now: Instant) -> bool {
-        self.seen(topic).lease.is_valid(self.bound(topic), now)
+    /// Returns true while what was read of a topic is within its staleness bound.
+    pub fn is_fresh(&self, topic: Topic, now: Instant) -> bool {
+        self.progress(topic).lease.is_valid(self.staleness_bound(topic), now)
     }
 
-    /// Returns true while what was read of both topics may be relied on.
-    pub fn is_sure_of_all(&self, now: Instant) -> bool {
-        [Topic::Config, Topic::Upstreams].into_iter().all(|topic| self.is_sure(topic, now))
+    /// Returns true while what was read of both topics is within its staleness bound.
+    pub fn is_all_fresh(&self, now: Instant) -> bool {
+        [Topic::Config, Topic::Upstreams].into_iter().all(|topic| self.is_fresh(topic, now))
     }
 
-    /// Returns true when both topics were read from the platform or a peer.
-    pub fn is_in_step(&self) -> bool {
-        self.config_seen.read && self.list_seen.read
+    /// Returns true when both topics were read, from the platform or from a peer.
+    pub fn has_read_all_topics(&self) -> bool {
+        self.config_progress.has_read && self.list_progress.has_read
     }
 
-    /// Returns true when a peer has seen changes of a topic that this node has not.
+    /// Returns true when a peer has read changes of a topic that this node has not.
     pub fn is_behind(&self, topic: Topic) -> bool {
         let (up_to, head): (Cursor, fn(&Peer) -> Cursor) = match topic {
-            Topic::Config => (self.config_seen.up_to, |peer| peer.config_head),
-            Topic::Upstreams => (self.list_seen.up_to, |peer| peer.list_head),
+            Topic::Config => (self.config_progress.up_to, |peer| peer.config_head),
+            Topic::Upstreams => (self.list_progress.up_to, |peer| peer.list_head),
         };
         self.peers.values().any(|peer| head(peer) > up_to)
     }
 
-    /// Puts `table` in force; false when it is not newer than the one held.
+    /// Puts `table` in force; returns false when it is not newer than the current one.
     ///
-    /// Never goes back: a late answer or a lagging peer must not undo a
-    /// version that callers have already seen the effect of.
+    /// The version never decreases: a late response or a lagging peer must not undo a version whose
+    /// effect callers have already seen.
     pub fn apply_table(&mut self, table: route::Table) -> bool {
         if self.table.is_some() && table.version <= self.config_version() {
             return false;
         }
-        // What is kept by route would pile up with routes that come and go.
+        // Without this, state kept by route name grows as routes come and go.
         let names: HashSet<&RouteName> = table.route_names().collect();
-        self.turns.retain(|name, _| names.contains(name));
+        self.round_robins.retain(|name, _| names.contains(name));
         let known = |name: &str| names.contains(&RouteName::from(name));
-        self.works.retain(known);
-        self.attempts.retain(known);
+        self.work_estimates.retain(known);
+        self.retry_detector.retain(known);
         let table = Rc::new(table);
         let before = self.table.replace(table.clone());
-        self.table_since = Instant::now();
+        self.table_applied_at = Instant::now();
         self.unrecorded.push(before, table);
         true
     }
 
-    /// Takes what follows from a change of the roster to the pools; true when the pool had the
-    /// upstream before.
+    /// Applies a change of the roster to the pools; returns true when the pool already had the
+    /// upstream.
     pub fn apply_change(&mut self, change: &place::Change, now: Instant) -> bool {
         let (service, upstream) = match change {
             place::Change::Put(entry) => (&entry.service, entry.incarnation()),
@@ -383,8 +388,8 @@
         let known = self.pools.get(service).is_some_and(|pool| pool.position(&upstream).is_some());
         match change {
             place::Change::Put(entry) => {
-                // Nodes near to it come before others.
-                self.notices.nodes_changed();
+                // A limit is shared among the nodes nearest to the upstream first.
+                self.backpressure.nodes_changed();
                 let (seed, zones) = (self.node_seed, self.evacuations.zones());
                 let new_pool = || {
                     let mut pool = place::Pool::with_node_seed(seed);
@@ -402,48 +407,49 @@
         known
     }
 
-    /// Takes which zones are evacuated by `change`; returns those for which that is news, and whether
-    /// each is evacuated now.
-    pub fn change_evacuations(
+    /// Applies `change` to the evacuations; returns the zones whose evacuation began or ended, each
+    /// with whether it is evacuated now.
+    pub fn update_evacuations(
         &mut self,
         change: impl FnOnce(&mut place::Evacuations),
     ) -> Vec<(place::Zone, bool)> {
         let before = self.evacuations.zones().clone();
         change(&mut self.evacuations);
         let now = self.evacuations.zones();
-        let news = before.symmetric_difference(now).map(|zone| (zone.clone(), now.contains(zone)));
-        let news: Vec<(place::Zone, bool)> = news.collect();
-        if !news.is_empty() {
+        let changed =
+            before.symmetric_difference(now).map(|zone| (zone.clone(), now.contains(zone)));
+        let changed: Vec<(place::Zone, bool)> = changed.collect();
+        if !changed.is_empty() {
             let (zones, now) = (self.evacuations.zones(), Instant::now());
             self.pools.values_mut().for_each(|pool| pool.set_evacuated_zones(zones, now));
         }
-        news
+        changed
     }
 
-    /// Counts the first send of a request to `service`.
-    pub fn first_send(&mut self, service: &ServiceName) {
-        let part = match self.fleet_size() as f64 <= self.settings.retry_slack {
-            true => RETRY_RATIO_PART,
-            false => RETRY_RATIO_PART_LITTLE_SLACK,
+    /// Records the first send of a request to `service`, which deposits into its retry budget.
+    pub fn record_first_send(&mut self, service: &ServiceName) {
+        let factor = match self.fleet_size() as f64 <= self.settings.retry_slack {
+            true => RETRY_RATIO_FACTOR,
+            false => RETRY_RATIO_FACTOR_LOW_SLACK,
         };
-        // Whole percents, rounded down: up, the part that is left out would be used too.
-        let percent = self.settings.retry_ratio * part * 100.0 + ROUNDING;
+        // Rounded down to a whole percentage: rounding up would use up the reserve.
+        let percent = self.settings.retry_ratio * factor * 100.0 + PERCENT_EPSILON;
         let sends = self.sends(service);
         sends.budget.deposit(percent as u64);
         sends.rate.count(Instant::now());
     }
 
-    /// Returns how many requests this node sends to a service for the first time, a second.
+    /// Returns this node's rate of first sends to a service, per second.
     pub fn first_sends_per_s(&self, service: &ServiceName, now: Instant) -> f64 {
         self.sends.get(service).map_or(0.0, |sends| sends.rate.per_s(now))
     }
 
-    /// Takes one second send out of the budget; false when none is left.
-    pub fn second_send(&mut self, service: &ServiceName) -> bool {
+    /// Withdraws one second send from the service's retry budget; returns false when it is exhausted.
+    pub fn try_second_send(&mut self, service: &ServiceName) -> bool {
         let sends = self.sends(service);
         let allowed = sends.budget.try_withdraw();
         if !allowed {
-            sends.short_at = Some(Instant::now());
+            sends.exhausted_at = Some(Instant::now());
         }
         match allowed {
             true => self.counters.second_sends += 1,
@@ -452,12 +458,12 @@
         allowed
     }
 
-    /// Takes one second send for a hedge out of the budget; false when none is left, or a moment ago
-    /// there was none for a request that had no send under way any more.
-    pub fn hedge(&mut self, service: &ServiceName) -> bool {
+    /// Withdraws one hedge from the service's retry budget; returns false when it is exhausted, or has
+    /// recently rejected a request that had no other send in flight.
+    pub fn try_hedge(&mut self, service: &ServiceName) -> bool {
         let sends = self.sends(service);
-        let was_short = sends.short_at.is_some_and(|at| at.elapsed() < HEDGES_YIELD_FOR);
-        let allowed = !was_short && sends.budget.try_withdraw();
+        let was_exhausted = sends.exhausted_at.is_some_and(|at| at.elapsed() < HEDGE_BACKOFF);
+        let allowed = !was_exhausted && sends.budget.try_withdraw();
         if allowed {
             self.counters.second_sends += 1;
             self.counters.hedges += 1;
@@ -466,52 +472,56 @@
     }
 
     fn sends(&mut self, service: &ServiceName) -> &mut Sends {
-        let share = self.settings.retry_slack * RETRY_SLACK_PART / self.fleet_size() as f64;
-        let burst = share.clamp(1.0, RETRY_BURST_MOST);
-        // A node begins with none: what each of a fleet that is restarted began with would come on
-        // top of what the fleet had saved before.
-        let fresh = || Sends {
+        let share = self.settings.retry_slack * RETRY_SLACK_FACTOR / self.fleet_size() as f64;
+        let burst = share.clamp(1.0, MAX_RETRY_BURST);
+        // A node starts with an empty budget: in a restarted fleet, initial balances would add to
+        // what the nodes had saved before the restart.
+        let new_sends = || Sends {
             rate: place::Rate::default(),
             budget: limit::RetryBudget::with_burst(0.0),
-            short_at: None,
+            exhausted_at: None,
         };
-        let sends = self.sends.entry(service.clone()).or_insert_with(fresh);
+        let sends = self.sends.entry(service.clone()).or_insert_with(new_sends);
         sends.budget.set_burst(burst);
         sends
     }
 }
 
-/// A request counted as outstanding at an upstream until it is ended or dropped.
+/// A request counted as outstanding at an upstream until it finishes or this guard is dropped.
 ///
-/// A hedged request whose other send was quicker is dropped midway; a count
-/// that never came down would keep its upstream from being chosen.
+/// When one send of a hedged request finishes first, the other is dropped before its end. A count
+/// that was never decremented would keep its upstream from being chosen.
 pub struct Outstanding {
-    state: Shared,
+    state: SharedState,
     service: ServiceName,
     upstream: Incarnation,
-    end: RequestOutcome,
+    outcome: RequestOutcome,
 }
 
 impl Outstanding {
-    /// Counts a request as sent.
-    pub fn start(state: &Shared, service: &ServiceName, upstream: &Incarnation) -> Outstanding {
+    /// Counts a request as sent to `upstream`.
+    pub fn start(
+        state: &SharedState,
+        service: &ServiceName,
+        upstream: &Incarnation,
+    ) -> Outstanding {
         if let Some(pool) = state.borrow_mut().pools.get_mut(service) {
             pool.record_sent(upstream);
         }
         let (service, upstream) = (service.clone(), upstream.clone());
-        Outstanding { state: state.clone(), service, upstream, end: RequestOutcome::Cancelled }
+        Outstanding { state: state.clone(), service, upstream, outcome: RequestOutcome::Cancelled }
     }
 
-    /// Records how it ended.
-    pub fn end(mut self, end: RequestOutcome) {
-        self.end = end;
+    /// Records the outcome of the request; without it the request counts as cancelled.
+    pub fn finish(mut self, outcome: RequestOutcome) {
+        self.outcome = outcome;
     }
 }
 
 impl Drop for Outstanding {
     fn drop(&mut self) {
         if let Some(pool) = self.state.borrow_mut().pools.get_mut(&self.service) {
-            pool.record_outcome(&self.upstream, self.end, Instant::now());
+            pool.record_outcome(&self.upstream, self.outcome, Instant::now());
         }
     }
 }
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -1,4 +1,4 @@
-//! What one entry node believes, for an operator who asks.
+//! The status of one entry node, as operators query it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use crate::state::{Counters, Peer, State};
 use crate::{as_ms, start_of};
 
-/// The beliefs of an entry node. Sizes grow with the number of upstreams: 0.2 kB for each.
+/// The state of an entry node. The encoded size grows by 0.2 kB per upstream.
 #[derive(Debug, Serialize)]
 pub struct Status {
     /// Name of the node.
@@ -20,108 +20,108 @@
     pub zone: SmolStr,
     /// Time since the process started.
     pub up_ms: u64,
-    /// Whether it takes callers.
+    /// Whether it accepts callers.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether it is stopping.
     pub stopping: bool,
     /// Version of the configuration in force; 0 before the first.
     pub config_version: route::Version,
-    /// Newest change of the configuration that was seen.
+    /// Newest change of the configuration that was read.
     pub config_head: Cursor,
-    /// Newest change of the list of upstreams that was seen.
+    /// Newest change of the list of upstreams that was read.
     pub list_head: Cursor,
-    /// How long ago the node knew everything about the configuration; `None` before that.
+    /// Time since the node last knew that it had the newest configuration; `None` before that.
     pub config_age_ms: Option<u64>,
-    /// The same for the list of upstreams.
+    /// Time since the node last knew that it had the newest list of upstreams; `None` before that.
     pub list_age_ms: Option<u64>,
-    /// How it hears of changes.
+    /// Where it reads changes from.
     pub reads: Reads,
-    /// For how long the platform has not answered this node.
+    /// Time for which the platform has not answered this node; 0 while it answers.
     pub store_away_ms: u64,
-    /// Requests read and not answered yet.
+    /// Requests read from callers and not answered yet.
     pub in_flight: u64,
     /// Other entry nodes by address.
     pub peers: BTreeMap<SocketAddr, PeerStatus>,
-    /// Availability zones whose upstreams get nothing, by an operator's word.
+    /// Availability zones that operators evacuated: their upstreams get no requests.
     pub evacuated: Vec<place::Zone>,
     /// Upstreams by service.
     pub upstreams: BTreeMap<SmolStr, Vec<UpstreamStatus>>,
-    /// What is known of requests that crashed upstreams, those that are held back first.
+    /// Findings on requests that crashed upstreams, quarantined ones first.
     pub crashing: Vec<quarantine::Finding>,
     /// Counters since start.
     pub counters: Counters,
 }
 
-/// How a node hears of changes.
+/// Where a node reads changes from.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reads {
-    /// It reads the platform itself.
+    /// From the platform itself.
     Platform,
     /// Through the peer with this address.
     Peer(SocketAddr),
-    /// Not now: it looks for a peer.
+    /// From nowhere: it is looking for a peer.
     Nothing,
 }
 
-/// What is known of a peer.
+/// The status of a peer.
 #[derive(Debug, Serialize)]
 pub struct PeerStatus {
     /// Its availability zone.
     pub zone: SmolStr,
-    /// What membership believes of it.
+    /// Its state according to the membership protocol.
     pub standing: String,
-    /// Newest change of the configuration that it has seen; 0 when it does not serve.
+    /// Newest change of the configuration that it has read; 0 while it does not serve.
     pub config_head: Cursor,
-    /// Newest change of the list of upstreams that it has seen.
+    /// Newest change of the list of upstreams that it has read.
     pub list_head: Cursor,
 }
 
-/// What is known of an upstream.
+/// The status of an upstream.
 #[derive(Debug, Serialize)]
 pub struct UpstreamStatus {
     /// Id.
     pub id: SmolStr,
-    /// Unix time of its start in milliseconds; 0 when it does not say.
+    /// Unix time of its start in milliseconds; 0 when the platform does not give it.
     pub born_ms: u64,
     /// Address.
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// Requests of this node that are not answered yet.
+    /// Requests that this node has sent to it and that are not answered yet.
     pub outstanding: u32,
-    /// Whether failures keep requests from it now.
+    /// Whether it is ejected because of failures.
     pub ejected: bool,
-    /// Its newest report; `None` before the first.
-    pub report: Option<Report>,
-    /// What it has stated about itself; `None` when nothing stands.
+    /// Its latest load report; `None` before the first.
+    pub report: Option<LoadReport>,
+    /// The backpressure signals in force; `None` when there are none.
     pub noted: Option<notice::BackpressureStatus>,
 }
 
-/// What an upstream said of its load.
+/// The load that an upstream reported.
 #[derive(Debug, Serialize)]
-pub struct Report {
-    /// How long ago.
+pub struct LoadReport {
+    /// Age of the report.
     pub age_ms: u64,
-    /// Requests it worked on.
+    /// Requests that were running.
     pub running: u32,
-    /// Requests that waited.
+    /// Requests that were waiting.
     pub waiting: u32,
-    /// Requests it can work on at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// How long work took, as a factor of the usual.
+    /// Duration of work relative to its usual duration.
     pub slowness: f64,
 }
 
 impl Status {
-    /// Returns what a node with this state believes.
+    /// Returns the status of a node with this state.
     pub fn of(state: &State, now: Instant) -> Status {
         let settings = &state.settings;
         let peer = |(addr, peer): (&SocketAddr, &Peer)| (*addr, PeerStatus::of(peer));
         let upstreams = state.pools.iter().map(|(service, pool)| {
-            let of_service =
-                pool.upstreams().iter().map(|u| UpstreamStatus::of(u, &state.notices, now));
-            (service.clone(), of_service.collect())
+            let service_upstreams =
+                pool.upstreams().iter().map(|u| UpstreamStatus::of(u, &state.backpressure, now));
+            (service.clone(), service_upstreams.collect())
         });
         Status {
             node_id: settings.node_id.clone(),
@@ -130,12 +130,12 @@
             ready: state.is_ready(),
             stopping: state.stopping.is_some(),
             config_version: state.config_version(),
-            config_head: state.config_seen.newest,
-            list_head: state.list_seen.newest,
-            config_age_ms: state.config_seen.lease.age(now).map(as_ms),
-            list_age_ms: state.list_seen.lease.age(now).map(as_ms),
-            reads: match state.reads_through {
-                _ if state.direct => Reads::Platform,
+            config_head: state.config_progress.newest,
+            list_head: state.list_progress.newest,
+            config_age_ms: state.config_progress.lease.age(now).map(as_ms),
+            list_age_ms: state.list_progress.lease.age(now).map(as_ms),
+            reads: match state.relay_peer {
+                _ if state.reads_directly => Reads::Platform,
                 Some(peer) => Reads::Peer(peer),
                 None => Reads::Nothing,
             },
@@ -164,10 +164,10 @@
 impl UpstreamStatus {
     fn of(
         upstream: &place::Upstream,
-        notices: &notice::Backpressure,
+        backpressure: &notice::Backpressure,
         now: Instant,
     ) -> UpstreamStatus {
-        let report = upstream.report(now).map(|(load, age)| Report {
+        let report = upstream.report(now).map(|(load, age)| LoadReport {
             age_ms: as_ms(age),
             running: load.running,
             waiting: load.waiting,
@@ -182,7 +182,7 @@
             outstanding: upstream.outstanding,
             ejected: upstream.is_ejected(now),
             report,
-            noted: notices.status(start_of(&upstream.incarnation), now),
+            noted: backpressure.status(start_of(&upstream.incarnation), now),
         }
     }
 }
--- a/crates/edge/src/stop.rs
+++ b/crates/edge/src/stop.rs
@@ -1,9 +1,9 @@
-//! Planned stop of the node, and what has to be done now and then.
+//! Graceful stop of the node, and periodic housekeeping.
 //!
-//! On SIGTERM the node says that it is not ready and leaves the membership, so
-//! that callers are no longer sent to it. It goes on serving for most of its
-//! grace: callers keep answers of the directory for a while and still come.
-//! Each answer asks its caller to close the connection.
+//! On SIGTERM the node reports that it is not ready and leaves the membership, so that callers are
+//! no longer directed to it. It continues to serve for most of its grace period, because callers
+//! cache directory responses and keep coming for a while. Its responses ask callers to close their
+//! connections.
 
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,33 +16,33 @@
 use crate::state::Stopping;
 use crate::{follow, gossip, unix_ms};
 
-/// How often signals are looked for and housekeeping is done.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval of housekeeping and of checks for signals.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// No new connection is taken in this last part of the grace.
-const CLOSED_FOR: Duration = Duration::from_millis(1_500);
+/// Time before the end of the grace period at which the listener closes.
+const CLOSE_LISTENER_BEFORE_KILL: Duration = Duration::from_millis(1_500);
 
-/// The node ends this long before it would be killed.
-const BEFORE_KILL: Duration = Duration::from_millis(600);
+/// Time before the end of the grace period, when the process would be killed, at which it exits.
+const EXIT_BEFORE_KILL: Duration = Duration::from_millis(600);
 
-/// Longest wait for the last lines of the log to be written.
-const LAST_LINES: Duration = Duration::from_millis(100);
+/// Maximum wait for the last log lines to be written.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Flags that signals set.
+/// Flags set by signals.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    /// The process is to stop.
+    /// Set by SIGTERM and SIGINT: the process should stop.
     pub stop: Arc<AtomicBool>,
-    /// The settings changed.
+    /// Set by SIGHUP: the settings changed.
     pub reload: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Registers the flags.
+    /// Registers the signal handlers that set the flags.
     ///
     /// # Errors
     ///
-    /// Whatever the operating system says when a handler cannot be set.
+    /// Returns the error of the operating system if a handler cannot be registered.
     pub fn register() -> std::io::Result<Signals> {
         let signals = Signals::default();
         for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
@@ -53,8 +53,10 @@
     }
 }
 
-/// Does housekeeping until SIGTERM. Calls `reload` often; its argument tells whether a signal said
-/// that the settings changed. They may change without one too.
+/// Runs housekeeping until the stop flag is set.
+///
+/// Calls `reload` at every interval, with whether a signal has announced changed settings since the
+/// last call. Settings may also change without a signal.
 pub async fn run_until_signal(
     signals: &Signals,
     node: &Rc<Node>,
@@ -63,7 +65,7 @@
     while !signals.stop.load(Ordering::Relaxed) {
         reload(node, signals.reload.swap(false, Ordering::Relaxed));
         housekeeping(node);
-        monoio::time::sleep(TICK).await;
+        monoio::time::sleep(HOUSEKEEPING_INTERVAL).await;
     }
 }
 
@@ -73,39 +75,39 @@
     node.conns.expire(now);
     let mut state = node.state.borrow_mut();
     state.quarantine.expire(unix_ms());
-    state.notices.expire(now);
+    state.backpressure.expire(now);
     drop(state);
     trace::flush();
 }
 
-/// Stops serving; returns once the process may end. Dropping `close` closes the listener.
-pub async fn drain<C>(node: &Rc<Node>, gossip: &Tx<gossip::Input>, close: C) {
-    let asked_at = Instant::now();
+/// Stops serving; returns when the process may exit. Dropping `listener_guard` closes the listener.
+pub async fn drain<C>(node: &Rc<Node>, gossip: &Tx<gossip::Input>, listener_guard: C) {
+    let requested_at = Instant::now();
     let grace = {
         let mut state = node.state.borrow_mut();
         let grace = state.settings.stop_grace;
-        let ends_at = asked_at + grace.saturating_sub(BEFORE_KILL);
-        state.stopping = Some(Stopping { asked_at, ends_at });
+        let exits_at = requested_at + grace.saturating_sub(EXIT_BEFORE_KILL);
+        state.stopping = Some(Stopping { requested_at, exits_at });
         grace
     };
     trace::Line::new("stopping").field("grace_ms", grace.as_millis() as u64).log();
-    // The task ends only with the process.
+    // Cannot fail: the receiving task runs as long as the process.
     let _ = gossip.send(gossip::Input::Leave);
-    let mut close = Some(close);
+    let mut listener_guard = Some(listener_guard);
     loop {
         housekeeping(node);
-        monoio::time::sleep(TICK).await;
-        let passed = asked_at.elapsed();
+        monoio::time::sleep(HOUSEKEEPING_INTERVAL).await;
+        let elapsed = requested_at.elapsed();
         let in_flight = node.state.borrow().in_flight;
-        if passed >= grace.saturating_sub(CLOSED_FOR) {
-            drop(close.take());
+        if elapsed >= grace.saturating_sub(CLOSE_LISTENER_BEFORE_KILL) {
+            drop(listener_guard.take());
         }
-        if passed + BEFORE_KILL >= grace || (close.is_none() && in_flight == 0) {
+        if elapsed + EXIT_BEFORE_KILL >= grace || (listener_guard.is_none() && in_flight == 0) {
             trace::Line::new("stopped")
                 .field("in_flight", in_flight)
-                .field("took_ms", passed.as_millis() as u64)
+                .field("took_ms", elapsed.as_millis() as u64)
                 .log();
-            trace::flush_and_wait(LAST_LINES);
+            trace::flush_and_wait(LOG_FLUSH_TIMEOUT);
             return;
         }
     }
--- a/crates/edge/src/tests/beliefs.rs
+++ b/crates/edge/src/tests/beliefs.rs
@@ -13,7 +13,7 @@
 use crate::follow::{self, Batch, Event, Source, SourceError, Topic};
 use crate::forward::Node;
 use crate::history::Cursor;
-use crate::state::{Peer, Seen, State, Stopping};
+use crate::state::{Peer, ReadProgress, State, Stopping};
 
 fn node() -> Rc<Node> {
     Rc::new(Node::new(Rc::new(RefCell::new(State::new(settings()))), metrics()))
@@ -28,7 +28,7 @@
 }
 
 fn peer(zone: &str, standing: Standing, config_head: Cursor) -> Peer {
-    Peer { zone: zone.into(), standing, config_head, list_head: 0, heard: true }
+    Peer { zone: zone.into(), standing, config_head, list_head: 0, heads_received: true }
 }
 
 /// A platform whose wait for changes hangs until it is asked anew, and that counts the calls.
@@ -130,14 +130,14 @@
     let mut state = State::new(settings());
     state.apply_table(table(7, ClientLimits::default()));
     for name in ["/get/", "/gone/"] {
-        state.turns.entry(name.into()).or_default();
-        state.works.record_work(&name.into(), ms(300), ms(10));
+        state.round_robins.entry(name.into()).or_default();
+        state.work_estimates.record_work(&name.into(), ms(300), ms(10));
     }
     state.apply_table(table(8, ClientLimits::default()));
-    assert_eq!(state.turns.keys().collect::<Vec<_>>(), ["/get/"]);
+    assert_eq!(state.round_robins.keys().collect::<Vec<_>>(), ["/get/"]);
     let guess = place::WorkEstimates::default().work("", ms(300));
-    assert_eq!(state.works.work("/gone/", ms(300)), guess);
-    assert_ne!(state.works.work("/get/", ms(300)), guess);
+    assert_eq!(state.work_estimates.work("/gone/", ms(300)), guess);
+    assert_ne!(state.work_estimates.work("/get/", ms(300)), guess);
 }
 
 /// Symptom: every change of one topic makes all nodes ask for the other topic too.
@@ -146,8 +146,10 @@
 #[test]
 fn being_behind_is_told_by_topic() {
     let mut state = State::new(settings());
-    state.config_seen = Seen { up_to: 10, newest: 8, read: true, ..Seen::default() };
-    state.list_seen = Seen { up_to: 10, newest: 9, read: true, ..Seen::default() };
+    state.config_progress =
+        ReadProgress { up_to: 10, newest: 8, has_read: true, ..ReadProgress::default() };
+    state.list_progress =
+        ReadProgress { up_to: 10, newest: 9, has_read: true, ..ReadProgress::default() };
     let ahead = Peer { list_head: 11, ..peer("a", Standing::Alive, 10) };
     state.peers.insert(addr(1), ahead);
     assert!(state.is_behind(Topic::Upstreams));
@@ -211,10 +213,10 @@
     late_and_long = { 4_000, 2_000, true },
 )]
 fn a_stopping_node_refuses_what_would_be_cut(after_ms: u64, takes_ms: u64, refused: bool) {
-    let asked_at = Instant::now();
-    let stopping = Stopping { asked_at, ends_at: asked_at + ms(5_400) };
-    let now = asked_at + ms(after_ms);
-    assert_eq!(stopping.is_too_late(now + ms(takes_ms), now), refused);
+    let requested_at = Instant::now();
+    let stopping = Stopping { requested_at, exits_at: requested_at + ms(5_400) };
+    let now = requested_at + ms(after_ms);
+    assert_eq!(stopping.must_reject(now + ms(takes_ms), now), refused);
 }
 
 #[test]
@@ -222,7 +224,7 @@
     let mut state = state_with(&[(1, "a", Standing::Alive, 7), (2, "a", Standing::Alive, 7)]);
     assert!(state.is_ready());
     let now = Instant::now();
-    state.stopping = Some(Stopping { asked_at: now, ends_at: now + ms(5_400) });
+    state.stopping = Some(Stopping { requested_at: now, exits_at: now + ms(5_400) });
     assert!(!state.is_ready());
     assert_eq!(crate::directory::addresses(&mut state, in_zone("a")).len(), 2);
 }
@@ -253,7 +255,7 @@
     state.apply_change(&place::Change::Put(entry), now);
     let load = place::Load { running: 2, waiting: 1, slots: 4, slowness: 3.0 };
     state.pools.get_mut("desk").expect("a pool").record_report(&up("u0"), Some(load), now);
-    (state.direct, state.reads_through) = (false, Some(addr(1)));
+    (state.reads_directly, state.relay_peer) = (false, Some(addr(1)));
     let status = crate::status::Status::of(&state, now + ms(30));
     let json = serde_json::to_value(&status).expect("encodes");
     assert_eq!(json["reads"]["peer"], addr(1).to_string());
@@ -263,6 +265,6 @@
         (&upstream["report"]["waiting"], &upstream["report"]["age_ms"]),
         (&1.into(), &30.into())
     );
-    state.direct = true;
+    state.reads_directly = true;
     assert!(matches!(crate::status::Status::of(&state, now).reads, crate::status::Reads::Platform));
 }
--- a/crates/edge/src/tests/budgets.rs
+++ b/crates/edge/src/tests/budgets.rs
@@ -17,7 +17,7 @@
     for n in 0..others {
         let addr = std::net::SocketAddr::from(([10, 0, 0, 1], n));
         let (zone, standing) = ("a".into(), Standing::Alive);
-        let peer = Peer { zone, standing, config_head: 1, list_head: 1, heard: true };
+        let peer = Peer { zone, standing, config_head: 1, list_head: 1, heads_received: true };
         state.peers.insert(addr, peer);
     }
     state
@@ -64,8 +64,8 @@
         let mut second = 0;
         for number in 0..requests {
             let state = &mut fleet[number % nodes];
-            state.first_send(&service);
-            second += usize::from(state.second_send(&service));
+            state.record_first_send(&service);
+            second += usize::from(state.try_second_send(&service));
         }
         let settings = settings();
         let allowed = settings.retry_ratio * requests as f64 + settings.retry_slack;
@@ -92,9 +92,9 @@
                 fleet[node] = node_that_knows(3, slack);
                 continue;
             }
-            fleet[node].first_send(&service);
+            fleet[node].record_first_send(&service);
             first_ms.push(now_ms);
-            while fleet[node].second_send(&service) {
+            while fleet[node].try_second_send(&service) {
                 second_ms.push(now_ms);
             }
         }
@@ -118,10 +118,10 @@
 fn hedges_yield_to_requests_that_were_refused() {
     let service = "desk".into();
     let mut state = State::new(settings());
-    (0..6).for_each(|_| state.first_send(&service));
-    assert!(state.second_send(&service));
-    assert!(!state.second_send(&service));
-    (0..6).for_each(|_| state.first_send(&service));
-    assert!(!state.hedge(&service), "another request needs it more");
-    assert!(state.second_send(&service));
+    (0..6).for_each(|_| state.record_first_send(&service));
+    assert!(state.try_second_send(&service));
+    assert!(!state.try_second_send(&service));
+    (0..6).for_each(|_| state.record_first_send(&service));
+    assert!(!state.try_hedge(&service), "another request needs it more");
+    assert!(state.try_second_send(&service));
 }
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -295,7 +295,7 @@
 
         platform.write(older);
         for node in &cluster.nodes {
-            node.state.borrow_mut().times_gone_back += 1;
+            node.state.borrow_mut().store_rollbacks += 1;
         }
         let is_written = || {
             let kept = platform.kept.borrow();
@@ -314,7 +314,7 @@
         let platform = Platform::default();
         let cluster = Cluster::start(96, 3, 4, "crash");
         for node in &cluster.nodes {
-            node.state.borrow_mut().settings.first_start = true;
+            node.state.borrow_mut().settings.bootstrap = true;
             platform.serve(node);
         }
         monoio::time::sleep(ms(1_500)).await;
--- a/crates/edge/src/tests/crashing.rs
+++ b/crates/edge/src/tests/crashing.rs
@@ -269,10 +269,14 @@
     pub fn serve(&self, node: &Rc<Node>) {
         {
             let state = &mut *node.state.borrow_mut();
-            state.direct = true;
-            state.config_seen =
-                state::Seen { up_to: 7, newest: 7, read: true, ..state::Seen::default() };
-            state.list_seen = state.config_seen;
+            state.reads_directly = true;
+            state.config_progress = state::ReadProgress {
+                up_to: 7,
+                newest: 7,
+                has_read: true,
+                ..state::ReadProgress::default()
+            };
+            state.list_progress = state.config_progress;
         }
         monoio::spawn(holds::run(self.clone(), node.clone()));
     }
--- a/crates/edge/src/tests/fake.rs
+++ b/crates/edge/src/tests/fake.rs
@@ -60,17 +60,17 @@
         front_addr: addr,
         peer_addr: addr,
         seed_addrs: Vec::new(),
-        first_start: false,
+        bootstrap: false,
         headers: names(),
         policy: place::Policy::Reports,
-        read_load: |_| None,
+        parse_load: |_| None,
         config_bound: lease::StalenessBound::new(Duration::from_secs(2)),
         list_bound: lease::StalenessBound::new(Duration::from_secs(2)),
         directory_ttl: Duration::from_secs(3),
         stop_grace: Duration::from_secs(6),
         retry_ratio: 0.2,
         retry_slack: 10.0,
-        probes_per_upstream_s: 0.0,
+        max_probes_per_upstream_per_s: 0.0,
         cross_zone_cost_per_kib: 0.04,
     }
 }
@@ -255,7 +255,7 @@
         state.apply_change(&Change::Put(entry), Instant::now());
     }
     // Requests before the test's own have earned it a second send.
-    (0..EARNED_BY).for_each(|_| state.first_send(&"desk".into()));
+    (0..EARNED_BY).for_each(|_| state.record_first_send(&"desk".into()));
     let node = Rc::new(Node::new(Rc::new(RefCell::new(state)), metrics()));
     monoio::spawn(crate::serve::run(listener, node.clone()));
     Entered { node, addr }
--- a/crates/edge/src/tests/fleet.rs
+++ b/crates/edge/src/tests/fleet.rs
@@ -21,7 +21,13 @@
 }
 
 pub fn serving(zone: &str) -> Peer {
-    Peer { zone: zone.into(), standing: Standing::Alive, config_head: 7, list_head: 7, heard: true }
+    Peer {
+        zone: zone.into(),
+        standing: Standing::Alive,
+        config_head: 7,
+        list_head: 7,
+        heads_received: true,
+    }
 }
 
 pub fn entry(n: u8) -> place::Entry {
@@ -44,8 +50,8 @@
     let mut state = State::new(settings);
     state.apply_table(table(7, ClientLimits::default()));
     state.roster.apply(vec![place::Event::Put(entry(200))], Instant::now());
-    state.config_seen.read = true;
-    state.list_seen.read = true;
+    state.config_progress.has_read = true;
+    state.list_progress.has_read = true;
     for (n, zone) in peers {
         state.peers.insert(addr(*n), serving(zone));
     }
@@ -194,7 +200,7 @@
 /// Waits until a node reads the platform through a peer.
 pub async fn until_subscribed(node: &Node) {
     let asked_at = Instant::now();
-    while node.state.borrow().direct {
+    while node.state.borrow().reads_directly {
         assert!(asked_at.elapsed() < ms(5_000), "never subscribed");
         monoio::time::sleep(ms(20)).await;
     }
--- a/crates/edge/src/tests/idle.rs
+++ b/crates/edge/src/tests/idle.rs
@@ -9,7 +9,7 @@
     let entered = start(&[upstream]);
     {
         let state = &mut *entered.node.state.borrow_mut();
-        state.settings.probes_per_upstream_s = 50.0;
+        state.settings.max_probes_per_upstream_per_s = 50.0;
         let load = place::Load { running: 0, waiting: 0, slots: 4, slowness: 1.0 };
         let pool = state.pools.get_mut("desk").expect("a pool");
         pool.record_report(&up("u0"), Some(load), Instant::now());
--- a/crates/edge/src/tests/in_force.rs
+++ b/crates/edge/src/tests/in_force.rs
@@ -88,15 +88,15 @@
         let platform = platform();
         let silent = TcpListener::bind("127.0.0.1:0").expect("binds");
         let mut state = state_at(addr(250), &[]);
-        state.direct = false;
+        state.reads_directly = false;
         state.peers.insert(silent.local_addr().expect("bound"), serving("a"));
         for n in 1..=2 {
             state.peers.insert(SocketAddr::from(([127, 0, 0, 1], n)), serving("a"));
         }
         // What is known is almost too old to be relied on.
         let known_at = Instant::now() - ms(1_590);
-        state.config_seen.lease.renew(known_at);
-        state.list_seen.lease.renew(known_at);
+        state.config_progress.lease.renew(known_at);
+        state.list_progress.lease.renew(known_at);
         platform.config.set(9);
         let node = Rc::new(Node::new(Rc::new(RefCell::new(state)), metrics()));
         for topic in [Topic::Config, Topic::Upstreams] {
@@ -130,7 +130,7 @@
     run(async {
         let platform = platform();
         let mut state = state_at(addr(1), &[]);
-        state.direct = false;
+        state.reads_directly = false;
         let node = Rc::new(Node::new(Rc::new(RefCell::new(state)), metrics()));
         for topic in [Topic::Config, Topic::Upstreams] {
             monoio::spawn(follow::run(platform.clone(), topic, node.clone()));
@@ -138,7 +138,7 @@
         platform.list_is_silent.set(true);
         monoio::time::sleep(ms(200)).await;
         // Its reader is gone, and it reads the platform itself from now on.
-        node.state.borrow_mut().direct = true;
+        node.state.borrow_mut().reads_directly = true;
         assert_eq!(in_force_in_time(&platform, &[node]).await, 1);
     });
 }
--- a/crates/edge/src/tests/large.rs
+++ b/crates/edge/src/tests/large.rs
@@ -35,14 +35,14 @@
     let mut state = State::new(settings);
     state.apply_table(table(7, ClientLimits::default()));
     state.roster.apply(vec![place::Event::Put(entry(1))], Instant::now());
-    state.config_seen.read = true;
-    state.list_seen.read = true;
+    state.config_progress.has_read = true;
+    state.list_progress.has_read = true;
     for (addr, zone) in fleet.iter().filter(|(addr, _)| *addr != me.0) {
-        let heard = rng.random_bool(heard_part);
-        let head = if heard { 7 } else { 0 };
+        let heads_received = rng.random_bool(heard_part);
+        let head = if heads_received { 7 } else { 0 };
         let standing = Standing::Alive;
         let zone = (*zone).into();
-        let peer = Peer { zone, standing, config_head: head, list_head: head, heard };
+        let peer = Peer { zone, standing, config_head: head, list_head: head, heads_received };
         state.peers.insert(*addr, peer);
     }
     state
@@ -88,6 +88,6 @@
     let rng = &mut StdRng::seed_from_u64(1);
     let mut state = serving_node(&fleet, fleet[1], 0.0, rng);
     let first = state.peers.get_mut(&fleet[0].0).expect("the first node");
-    (first.heard, first.config_head) = (heard, head);
+    (first.heads_received, first.config_head) = (heard, head);
     assert_eq!(record::is_recorder(&state, due_for), writes);
 }
--- a/crates/edge/src/tests/leaving.rs
+++ b/crates/edge/src/tests/leaving.rs
@@ -61,7 +61,7 @@
         let entered = start(&[&one]);
         Caller::connect(entered.addr).await.ask(&get("/get/1", "1")).await;
         let start = crate::start_of(&up("u0"));
-        assert!(entered.node.state.borrow().notices.is_leaving(start, Instant::now()));
+        assert!(entered.node.state.borrow().backpressure.is_leaving(start, Instant::now()));
     });
 }
 
@@ -76,7 +76,7 @@
         )]]);
         let entered = start(&[&one]);
         Caller::connect(entered.addr).await.ask(&get("/get/1", "1")).await;
-        assert!(entered.node.state.borrow().notices.is_empty());
+        assert!(entered.node.state.borrow().backpressure.is_empty());
     });
 }
 
@@ -150,7 +150,7 @@
         };
         let start = crate::start_of(&up("u0"));
         let now = Instant::now();
-        entered.node.state.borrow_mut().ends.record_lost_response(start, lost, now);
+        entered.node.state.borrow_mut().crash_detector.record_lost_response(start, lost, now);
         entered.node.has_ended(&up("u0"));
         assert!(entered.node.state.borrow().quarantine.findings().is_empty());
     });
--- a/crates/edge/src/tests/pipelining.rs
+++ b/crates/edge/src/tests/pipelining.rs
@@ -220,7 +220,7 @@
         until(|| upstream.runs() == 3).await;
         let now = Instant::now();
         entered.node.state.borrow_mut().stopping =
-            Some(Stopping { asked_at: now, ends_at: now + Duration::from_secs(5) });
+            Some(Stopping { requested_at: now, exits_at: now + Duration::from_secs(5) });
         write_raw(&mut stream, &get("/get/4", "id-4")).await;
         let text = read_to_end(stream).await;
         for id in ["id-1", "id-2", "id-3"] {
--- a/crates/edge/src/tests/relay.rs
+++ b/crates/edge/src/tests/relay.rs
@@ -46,7 +46,7 @@
 #[test]
 fn a_node_that_has_read_nothing_asks_the_platform() {
     let mut state = state_at(addr(5), &[(2, "a")]);
-    state.list_seen.read = false;
+    state.list_progress.has_read = false;
     assert_eq!(way(&mut state), Way::Direct);
 }
 
@@ -80,7 +80,7 @@
             let state = node.state.borrow();
             assert_eq!((state.config_version(), state.roster.len()), (9, 2));
         }
-        assert_eq!(nodes.iter().filter(|node| node.state.borrow().direct).count(), 3);
+        assert_eq!(nodes.iter().filter(|node| node.state.borrow().reads_directly).count(), 3);
         let waits = platform.waits.get() - before;
         assert!(waits <= 6, "{waits} new waits after two changes at three readers");
     });
@@ -141,7 +141,7 @@
         let asked_at = Instant::now();
         let node = start_behind_unreachable_readers(&platform);
         node.state.borrow_mut().peers.insert(reader.1, serving("a"));
-        while node.state.borrow().direct {
+        while node.state.borrow().reads_directly {
             assert!(asked_at.elapsed() < ms(800), "not fed by a reader that has read less");
             monoio::time::sleep(ms(10)).await;
         }
@@ -216,7 +216,7 @@
         monoio::spawn(relay::run(node.clone()));
         monoio::time::sleep(ms(1_500)).await;
         assert!(node.state.borrow().pools.is_empty(), "nothing was taken from the reader");
-        assert!(node.state.borrow().direct);
+        assert!(node.state.borrow().reads_directly);
     });
 }
 
@@ -230,7 +230,7 @@
         let (peer, at) = start(&platform);
         monoio::time::sleep(ms(100)).await;
         peer.state.borrow_mut().roster.store_lost(Instant::now());
-        peer.state.borrow_mut().reaches_platform = false;
+        peer.state.borrow_mut().platform_reachable = false;
         let mut settings = settings();
         settings.peer_addr = SocketAddr::from(([127, 0, 0, 1], 65_535));
         settings.seed_addrs = vec![at];
@@ -304,7 +304,7 @@
     assert_eq!(readers::longest_pause(&state, most), most);
     let mut small = state_at(addr(250), &[(1, "a"), (2, "a"), (3, "a")]);
     assert_eq!(readers::longest_pause(&small, most), most);
-    small.list_seen.read = false;
+    small.list_progress.has_read = false;
     assert_eq!(readers::longest_pause(&small, most), most);
 }
 
@@ -338,7 +338,7 @@
         first.0.subscribers.drop_all(false);
         monoio::time::sleep(ms(600)).await;
         assert!(!second.0.subscribers.is_empty(), "the other reader was not asked");
-        assert!(!node.state.borrow().direct);
+        assert!(!node.state.borrow().reads_directly);
         assert_eq!(own.snapshots.get(), before);
     });
 }
@@ -358,9 +358,9 @@
         platform.list.borrow_mut()[0].cold_for = ms(1_500);
         platform.list_version.set(9);
         monoio::time::sleep(ms(600)).await;
-        assert_eq!(nodes.iter().filter(|node| node.state.borrow().direct).count(), 3);
+        assert_eq!(nodes.iter().filter(|node| node.state.borrow().reads_directly).count(), 3);
         for node in &nodes {
-            assert_eq!(node.state.borrow().list_seen.newest, 9);
+            assert_eq!(node.state.borrow().list_progress.newest, 9);
         }
     });
 }
@@ -376,7 +376,7 @@
         monoio::time::sleep(ms(100)).await;
         let subscriber = |newest: Cursor, port: u16| {
             let mut state = state_at(SocketAddr::from(([127, 0, 0, 1], port)), &[]);
-            state.list_seen.newest = newest;
+            state.list_progress.newest = newest;
             state.peers.insert(at, serving("a"));
             for n in 1..=2 {
                 state.peers.insert(SocketAddr::from(([127, 0, 0, 1], n)), serving("a"));
@@ -384,12 +384,12 @@
             Rc::new(Node::new(Rc::new(RefCell::new(state)), metrics()))
         };
         for (newest, port) in [(7, 65_534), (9, 65_535)] {
-            reader.state.borrow_mut().list_seen.up_to = newest;
+            reader.state.borrow_mut().list_progress.up_to = newest;
             let node = subscriber(newest, port);
             monoio::spawn(relay::run(node.clone()));
             until_subscribed(&node).await;
             monoio::time::sleep(ms(100)).await;
-            assert!(!node.state.borrow().direct, "left the reader at {newest}");
+            assert!(!node.state.borrow().reads_directly, "left the reader at {newest}");
         }
     });
 }
--- a/crates/edge/src/tests/requests.rs
+++ b/crates/edge/src/tests/requests.rs
@@ -94,7 +94,7 @@
         let first = Upstream::start(vec![vec![text(error)]]);
         let second = Upstream::start(vec![vec![text(error)]]);
         let entered = start(&[&first, &second]);
-        while entered.node.state.borrow_mut().second_send(&"desk".into()) {}
+        while entered.node.state.borrow_mut().try_second_send(&"desk".into()) {}
         let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "7")).await;
         assert_eq!((got.status, got.body.as_str()), (500, "why"));
         assert!(got.headers.contains_key("x-signature"));
--- a/crates/edge/src/tests/rests.rs
+++ b/crates/edge/src/tests/rests.rs
@@ -87,7 +87,7 @@
         {
             let state = &mut *entered.node.state.borrow_mut();
             state.apply_table(table_with_homes(3, &homes));
-            state.change_evacuations(|evacuations| evacuations.adopt_snapshot(evacuated));
+            state.update_evacuations(|evacuations| evacuations.adopt_snapshot(evacuated));
         }
         let got = ask("2").await;
         let come_back = got.headers["retry-after"].to_str().expect("text").parse::<f64>();
--- a/crates/edge/src/tests/starts.rs
+++ b/crates/edge/src/tests/starts.rs
@@ -126,8 +126,8 @@
     for in_step in [false, true] {
         let mut state = state_at(addr(5), known);
         state.settings.seed_addrs = [7, 8, 9].map(addr).to_vec();
-        state.settings.first_start = true;
-        (state.config_seen.read, state.direct) = (in_step, false);
+        state.settings.bootstrap = true;
+        (state.config_progress.has_read, state.reads_directly) = (in_step, false);
         let chosen = readers::choose(&mut state, &HashMap::new(), true, now);
         assert!(expected.iter().any(|n| chosen == Way::Via(addr(*n))), "{chosen:?}");
         assert_eq!(readers::has_nearer_seed(&state, addr(7), now), !expected.contains(&7));
@@ -145,16 +145,16 @@
         let own = platform();
         let (node, _) = start_with(&own, own_addr(2), |settings| {
             settings.seed_addrs = vec![seed_at];
-            settings.first_start = true;
+            settings.bootstrap = true;
         });
         monoio::time::sleep(ms(300)).await;
         let seed = start_with(&platform(), seed_at, |settings| {
             settings.seed_addrs = vec![seed_at];
-            settings.first_start = true;
+            settings.bootstrap = true;
         });
         until_ready(&node, ms(3_000)).await;
         assert_eq!(own.snapshots.get(), 0);
-        assert!(seed.0.state.borrow().direct);
+        assert!(seed.0.state.borrow().reads_directly);
     });
 }
 
