--- a/crates/edge/src/reply.rs
+++ b/crates/edge/src/reply.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Formats a `Retry-After` value in seconds with fractions: with whole seconds, callers that could be
-/// served in 50 ms would retry after their deadline.
+/// Formats a `Retry-After` value in seconds with fractions: with whole seconds, callers that could
+/// be served in 50 ms would retry after their deadline.
 fn retry_after_value(after: Duration) -> HeaderValue {
     HeaderValue::try_from(format!("{:.3}", after.as_secs_f64()))
         .expect("a decimal number is a valid header value")
--- a/crates/edge/src/serve/pipeline.rs
+++ b/crates/edge/src/serve/pipeline.rs
@@ -160,10 +160,11 @@
 
 /// Forwards a request in a task of its own.
 ///
-/// Dropping the returned value, as when the caller disconnects, cancels the request at its upstream:
-/// it would occupy a slot that callers who still wait could use. A request that must not run twice
-/// is left to finish once it was sent: cancelling cannot undo what it did, and a half-done request
-/// may be worse than a complete one. If it still waits for capacity, it is not sent any more.
+/// Dropping the returned value, as when the caller disconnects, cancels the request at its
+/// upstream: it would occupy a slot that callers who still wait could use. A request that must not
+/// run twice is left to finish once it was sent: cancelling cannot undo what it did, and a
+/// half-done request may be worse than a complete one. If it still waits for capacity, it is not
+/// sent any more.
 pub(super) fn forward(node: &Rc<Node>, request: Request) -> PendingReply {
     let (mut sender, receiver) = oneshot::channel();
     let node = node.clone();
--- a/crates/edge/src/serve/requests.rs
+++ b/crates/edge/src/serve/requests.rs
@@ -20,12 +20,12 @@
 /// it can be sent again; longer ones are streamed.
 const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 
-/// Maximum number of bytes received from a caller and not yet parsed as requests. A caller that sends
-/// more is slowed down by TCP flow control.
+/// Maximum number of bytes received from a caller and not yet parsed as requests. A caller that
+/// sends more is slowed down by TCP flow control.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// Time for which a connection stays open beyond its idle timeout, for requests sent just before the
-/// timeout that would otherwise cross the close on the wire.
+/// Time for which a connection stays open beyond its idle timeout, for requests sent just before
+/// the timeout that would otherwise cross the close on the wire.
 const IDLE_TIMEOUT_SLACK: Duration = Duration::from_millis(500);
 
 /// The reading half of a connection.
@@ -71,8 +71,8 @@
             return self.reject(local_reply, head.method == Method::HEAD).await;
         }
         if expects_continue(&head) && !decoder.is_done() {
-            // `100 Continue` must follow the responses to earlier requests. The timeout for the body
-            // starts only then, because the caller does not send the body before.
+            // `100 Continue` must follow the responses to earlier requests. The timeout for the
+            // body starts only then, because the caller does not send the body before.
             self.wait_until_drained().await?;
             let _ = self.writes.send(QueuedWrite::Continue);
         }
--- a/crates/edge/src/serve/responses.rs
+++ b/crates/edge/src/serve/responses.rs
@@ -21,8 +21,8 @@
 
 /// Writes the responses of a connection until one of them closes it or the caller disconnects.
 ///
-/// A response that is ready before its predecessors waits for them: a complete one in memory, a long
-/// one at its upstream, which is stopped by TCP flow control.
+/// A response that is ready before its predecessors waits for them: a complete one in memory, a
+/// long one at its upstream, which is stopped by TCP flow control.
 pub(super) async fn write_all(
     writer: &mut h1::Writer,
     mut writes: unbounded::Rx<QueuedWrite>,
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -64,9 +64,9 @@
     /// Returns true when the peer serves or may serve: it is alive and has not reported that it has
     /// no configuration.
     ///
-    /// A few seconds after the start of a fleet of hundreds, a node knows all peers but has received
-    /// messages from few of them. If only those counted, each node would choose other readers: 126 of
-    /// 312 nodes read the platform themselves 3.5 s after their start.
+    /// A few seconds after the start of a fleet of hundreds, a node knows all peers but has
+    /// received messages from few of them. If only those counted, each node would choose other
+    /// readers: 126 of 312 nodes read the platform themselves 3.5 s after their start.
     pub fn may_serve(&self) -> bool {
         self.standing == wire::Standing::Alive && (self.config_head > 0 || !self.heads_received)
     }
@@ -203,7 +203,8 @@
     pub started_at: Instant,
     /// Whether this node reads the platform itself, not through a peer.
     pub reads_directly: bool,
-    /// Whether this node has read the list from the platform itself since it began to read directly.
+    /// Whether this node has read the list from the platform itself since it began to read
+    /// directly.
     pub list_from_platform: bool,
     /// The peer that this node currently reads the platform through.
     pub relay_peer: Option<SocketAddr>,
@@ -444,7 +445,8 @@
         self.sends.get(service).map_or(0.0, |sends| sends.rate.per_s(now))
     }
 
-    /// Withdraws one second send from the service's retry budget; returns false when it is exhausted.
+    /// Withdraws one second send from the service's retry budget; returns false when it is
+    /// exhausted.
     pub fn try_second_send(&mut self, service: &ServiceName) -> bool {
         let sends = self.sends(service);
         let allowed = sends.budget.try_withdraw();
@@ -458,8 +460,8 @@
         allowed
     }
 
-    /// Withdraws one hedge from the service's retry budget; returns false when it is exhausted, or has
-    /// recently rejected a request that had no other send in flight.
+    /// Withdraws one hedge from the service's retry budget; returns false when it is exhausted, or
+    /// has recently rejected a request that had no other send in flight.
     pub fn try_hedge(&mut self, service: &ServiceName) -> bool {
         let sends = self.sends(service);
         let was_exhausted = sends.exhausted_at.is_some_and(|at| at.elapsed() < HEDGE_BACKOFF);
--- a/crates/edge/src/tests/beliefs.rs
+++ b/crates/edge/src/tests/beliefs.rs
@@ -8,7 +8,7 @@
 use route::ClientLimits;
 use wire::Standing;
 
-use super::fake::{metrics, ms, run, settings, table, up};
+use super::fake::{incarnation, metrics, ms, run, settings, table};
 use crate::directory::Asker;
 use crate::follow::{self, Batch, Event, Source, SourceError, Topic};
 use crate::forward::Node;
@@ -254,7 +254,7 @@
     let entry = state.roster.entries().next().expect("an entry").clone();
     state.apply_change(&place::Change::Put(entry), now);
     let load = place::Load { running: 2, waiting: 1, slots: 4, slowness: 3.0 };
-    state.pools.get_mut("desk").expect("a pool").record_report(&up("u0"), Some(load), now);
+    state.pools.get_mut("desk").expect("a pool").record_report(&incarnation("u0"), Some(load), now);
     (state.reads_directly, state.relay_peer) = (false, Some(addr(1)));
     let status = crate::status::Status::of(&state, now + ms(30));
     let json = serde_json::to_value(&status).expect("encodes");
--- a/crates/edge/src/tests/callers.rs
+++ b/crates/edge/src/tests/callers.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use super::fake::{ms, start, Caller, Entered, Upstream};
+use super::fake::{ms, start, Caller, EntryNode, Upstream};
 use super::fleet::{addr, serving};
 
 /// Entry nodes in front of the same upstreams.
 const NODES: u8 = 8;
 
 /// Starts nodes that know each other and have been up for a while.
-pub fn nodes(upstreams: &[&Upstream]) -> Vec<Entered> {
+pub fn nodes(upstreams: &[&Upstream]) -> Vec<EntryNode> {
     let all: Vec<SocketAddr> = (1..=NODES).map(addr).collect();
     let entered = all.iter().map(|me| {
         let entered = start(upstreams);
@@ -19,13 +19,13 @@
         state.started_at -= Duration::from_secs(60);
         let others = all.iter().filter(|peer| *peer != me);
         state.peers.extend(others.map(|peer| (*peer, serving("a"))));
-        Entered { node: entered.node.clone(), addr: entered.addr }
+        EntryNode { node: entered.node.clone(), addr: entered.addr }
     });
     entered.collect()
 }
 
 /// Has a caller of each node make requests one after the other; returns how many were served.
-pub async fn ask_all(nodes: &[Entered], request: fn(&str) -> String, until: Instant) -> usize {
+pub async fn ask_all(nodes: &[EntryNode], request: fn(&str) -> String, until: Instant) -> usize {
     let callers = nodes.iter().map(|entered| {
         let addr = entered.addr;
         monoio::spawn(async move {
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -9,7 +9,7 @@
 use web::h1;
 
 use super::crashing::{ask, Asked, Cluster, Platform, SLOTS};
-use super::fake::{get, ms, run, start, up, Act, Caller, Upstream};
+use super::fake::{get, incarnation, ms, run, start, Caller, Step, Upstream};
 use crate::forward::{content_of, Node};
 
 /// Time in which all nodes must know of a request that has crashed its third upstream.
@@ -327,8 +327,8 @@
 #[test]
 fn lost_answers_hold_nothing_back() {
     run(async {
-        let upstream = Upstream::start(vec![vec![Act::Close]]);
-        let other = Upstream::start(vec![vec![Act::Close]]);
+        let upstream = Upstream::start(vec![vec![Step::Close]]);
+        let other = Upstream::start(vec![vec![Step::Close]]);
         let entered = start(&[&upstream, &other]);
         for n in 0..6 {
             let mut caller = Caller::connect(entered.addr).await;
@@ -346,14 +346,14 @@
 #[test]
 fn an_upstream_that_cannot_be_reached_has_not_crashed() {
     run(async {
-        let upstream = Upstream::start(vec![vec![Act::Close]]);
+        let upstream = Upstream::start(vec![vec![Step::Close]]);
         let entered = start(&[&upstream]);
         let mut caller = Caller::connect(entered.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "1")).await.status, 502);
         let knows_any = || !entered.node.state.borrow().quarantine.is_empty();
-        entered.node.unconnected(&up("u0"), &io::ErrorKind::TimedOut.into());
+        entered.node.unconnected(&incarnation("u0"), &io::ErrorKind::TimedOut.into());
         assert!(!knows_any());
-        entered.node.unconnected(&up("u0"), &io::ErrorKind::ConnectionRefused.into());
+        entered.node.unconnected(&incarnation("u0"), &io::ErrorKind::ConnectionRefused.into());
         assert!(knows_any());
     });
 }
--- a/crates/edge/src/tests/evacuation.rs
+++ b/crates/edge/src/tests/evacuation.rs
@@ -6,7 +6,7 @@
 
 use place::Zone;
 
-use super::fake::{answer, get, ms, run, start, Act, Caller, Entered, Upstream};
+use super::fake::{get, ms, ok_response, run, start, Caller, EntryNode, Step, Upstream};
 use super::fleet::{entry, platform, serving, start as start_follower, until_subscribed};
 use crate::follow::{self, Batch, Event, Source, SourceError, Topic};
 use crate::history::Cursor;
@@ -15,7 +15,7 @@
 /// Time in which an evacuation must be in force on a node that reads through another.
 const IN_FORCE: Duration = Duration::from_millis(1_000);
 
-fn evacuate(entered: &Entered, zones: &[&str]) {
+fn evacuate(entered: &EntryNode, zones: &[&str]) {
     let zones = zones.iter().map(|zone| Zone::from(*zone)).collect();
     let frame = relay::Frame::Evacuated { up_to: 9, newest: 9, zones };
     follow::adopt(&entered.node, super::fleet::addr(2), frame).expect("taken");
@@ -27,8 +27,8 @@
 #[test]
 fn requests_go_to_other_zones_while_one_is_evacuated() {
     run(async {
-        let near = Upstream::start(vec![vec![answer("near")]]);
-        let far = Upstream::start(vec![vec![answer("far")]]);
+        let near = Upstream::start(vec![vec![ok_response("near")]]);
+        let far = Upstream::start(vec![vec![ok_response("far")]]);
         let entered = start(&[&near, &far]);
         let ask =
             async |id: &str| Caller::connect(entered.addr).await.ask(&get("/get/1", id)).await;
@@ -49,7 +49,7 @@
 #[test]
 fn what_is_under_way_ends_and_nothing_is_sent_beside_it() {
     run(async {
-        let slow = || vec![Act::Wait(ms(350)), answer("slow")];
+        let slow = || vec![Step::Wait(ms(350)), ok_response("slow")];
         let (one, other) = (Upstream::start(vec![slow()]), Upstream::start(vec![slow()]));
         let entered = start(&[&one, &other]);
         let mut caller = Caller::connect(entered.addr).await;
--- a/crates/edge/src/tests/fake.rs
+++ b/crates/edge/src/tests/fake.rs
@@ -1,4 +1,4 @@
-//! An entry node, upstreams that follow a script, and a caller that speaks raw bytes.
+//! Test fixtures: an entry node, scripted upstreams, and a caller that sends raw bytes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -17,17 +17,17 @@
 use crate::state::State;
 use crate::{HeaderNames, Settings};
 
-/// Requests that earn a node more second sends than a test needs.
-const EARNED_BY: usize = 40;
+/// First sends that deposit more into a node's retry budget than a test needs.
+const INITIAL_FIRST_SENDS: usize = 40;
 
-/// Longest that a test waits for anything.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Maximum time that a test waits for a response.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When the upstreams of the tests started.
+/// Unix start time of the tests' upstreams, in milliseconds.
 pub const BORN_MS: u64 = 1_000;
 
-/// The start of the upstream `id` that the tests list.
-pub fn up(id: &str) -> place::Incarnation {
+/// Returns the incarnation of the listed upstream `id`.
+pub fn incarnation(id: &str) -> place::Incarnation {
     place::Incarnation { id: id.into(), born_ms: BORN_MS }
 }
 
@@ -35,7 +35,7 @@
     Duration::from_millis(ms)
 }
 
-pub fn names() -> HeaderNames {
+pub fn header_names() -> HeaderNames {
     HeaderNames {
         request_id: HeaderName::from_static("x-id"),
         deadline_ms: HeaderName::from_static("x-deadline"),
@@ -61,7 +61,7 @@
         peer_addr: addr,
         seed_addrs: Vec::new(),
         bootstrap: false,
-        headers: names(),
+        headers: header_names(),
         policy: place::Policy::Reports,
         parse_load: |_| None,
         config_bound: lease::StalenessBound::new(Duration::from_secs(2)),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Paths under `/get/` may run twice, those under `/post/` once.
+/// Returns a table with an idempotent route `/get/` and an at-most-once route `/post/`.
 pub fn table(version: route::Version, limits: ClientLimits) -> Table {
     let route = |prefix: &str, retry_policy| Route {
         name: prefix.into(),
@@ -105,10 +105,10 @@
     crate::metrics::Metrics::new().expect("metrics are set up")
 }
 
-/// What an upstream does with one request.
+/// A step of an upstream's script for one request.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Writes these bytes; `{id}` stands for the request's id.
+pub enum Step {
+    /// Writes this text, with `{id}` replaced by the request's id.
     Write(String),
     /// Waits.
     Wait(Duration),
@@ -116,40 +116,40 @@
     Close,
 }
 
-/// A whole sound answer with `body`.
-pub fn answer(body: &str) -> Act {
+/// Returns a complete valid response with `body`.
+pub fn ok_response(body: &str) -> Step {
     let length = body.len();
-    Act::Write(format!(
+    Step::Write(format!(
         "HTTP/1.1 200 OK\r\nx-id: {{id}}\r\nx-signature: s\r\ncontent-length: {length}\r\n\r\n{body}"
     ))
 }
 
-/// An answer that says the request was not run.
-pub fn refusal(status: &str) -> Act {
-    Act::Write(format!(
+/// Returns a response that states that the request was not run.
+pub fn refusal(status: &str) -> Step {
+    Step::Write(format!(
         "HTTP/1.1 {status}\r\nx-id: {{id}}\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"
     ))
 }
 
-/// What an upstream saw of one request.
+/// A request as an upstream received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct SeenRequest {
     pub head: h1::RequestHead,
     pub body: Vec<u8>,
     pub at: Instant,
 }
 
-/// An upstream: each request does the next script, the last one again and again.
+/// An upstream that runs the next script for each request, and the last one for all further ones.
 pub struct Upstream {
     pub addr: SocketAddr,
-    pub seen: Rc<RefCell<Vec<Seen>>>,
-    /// Connections whose caller closed while a script waited.
+    pub seen: Rc<RefCell<Vec<SeenRequest>>>,
+    /// Number of connections closed by the other side while a script waited.
     pub abandoned: Rc<Cell<u32>>,
     pub connections: Rc<Cell<u32>>,
 }
 
 impl Upstream {
-    pub fn start(scripts: Vec<Vec<Act>>) -> Upstream {
+    pub fn start(scripts: Vec<Vec<Step>>) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let upstream = Upstream {
             addr: listener.local_addr().expect("bound"),
@@ -177,8 +177,8 @@
 
 async fn serve(
     stream: TcpStream,
-    scripts: Rc<RefCell<VecDeque<Vec<Act>>>>,
-    seen: Rc<RefCell<Vec<Seen>>>,
+    scripts: Rc<RefCell<VecDeque<Vec<Step>>>>,
+    seen: Rc<RefCell<Vec<SeenRequest>>>,
     abandoned: Rc<Cell<u32>>,
 ) {
     let (read, write) = stream.into_split();
@@ -193,7 +193,7 @@
                 _ => scripts.pop_front().unwrap_or_default(),
             }
         };
-        let early = matches!(script.first(), Some(Act::Write(text)) if text.contains("x-early"));
+        let early = matches!(script.first(), Some(Step::Write(text)) if text.contains("x-early"));
         let mut body = Vec::new();
         let mut decoder = h1::Decoder::new(head.framing);
         if !early {
@@ -205,36 +205,36 @@
                 }
             }
         }
-        seen.borrow_mut().push(Seen { head, body, at: Instant::now() });
-        for act in script {
-            match act {
-                Act::Write(text) => {
+        seen.borrow_mut().push(SeenRequest { head, body, at: Instant::now() });
+        for step in script {
+            match step {
+                Step::Write(text) => {
                     let bytes = text.replace("{id}", &id).into_bytes();
                     if writer.write(bytes).await.is_err() {
                         return;
                     }
                 }
-                Act::Wait(time) => {
+                Step::Wait(time) => {
                     if let Ok(Ok(false) | Err(_)) = monoio::time::timeout(time, reader.fill()).await
                     {
                         abandoned.set(abandoned.get() + 1);
                         return;
                     }
                 }
-                Act::Close => return,
+                Step::Close => return,
             }
         }
     }
 }
 
-/// An entry node and where callers reach it.
-pub struct Entered {
+/// An entry node and its address for callers.
+pub struct EntryNode {
     pub node: Rc<Node>,
     pub addr: SocketAddr,
 }
 
 /// Starts an entry node in front of `upstreams`.
-pub fn start(upstreams: &[&Upstream]) -> Entered {
+pub fn start(upstreams: &[&Upstream]) -> EntryNode {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let addr = listener.local_addr().expect("bound");
     let mut state = State::new(settings());
@@ -245,7 +245,7 @@
             born_ms: BORN_MS,
             service: "desk".into(),
             addr: upstream.addr,
-            // The first is in the node's own zone, so that it is tried first.
+            // The first one is in the node's own zone, so it is tried first.
             zone: if n == 0 { "a".into() } else { "b".into() },
             slots: 4,
             leaving: false,
@@ -254,20 +254,20 @@
         state.roster.apply(vec![place::Event::Put(entry.clone())], Instant::now());
         state.apply_change(&Change::Put(entry), Instant::now());
     }
-    // Requests before the test's own have earned it a second send.
-    (0..EARNED_BY).for_each(|_| state.record_first_send(&"desk".into()));
+    // Fills the retry budget as earlier requests would.
+    (0..INITIAL_FIRST_SENDS).for_each(|_| state.record_first_send(&"desk".into()));
     let node = Rc::new(Node::new(Rc::new(RefCell::new(state)), metrics()));
     monoio::spawn(crate::serve::run(listener, node.clone()));
-    Entered { node, addr }
+    EntryNode { node, addr }
 }
 
-/// What a caller got back.
+/// A response as a caller received it.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct Response {
     pub status: u16,
     pub headers: http::HeaderMap,
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end.
     pub whole: bool,
 }
 
@@ -288,12 +288,12 @@
         self.writer.write(text.as_bytes().to_vec()).await.expect("writes");
     }
 
-    /// Reads one answer; `None` when the connection ended without one.
-    pub async fn read(&mut self) -> Option<Got> {
-        monoio::time::timeout(PATIENCE, self.read_answer()).await.expect("answered in time")
+    /// Reads one response; returns `None` if the connection ends without one.
+    pub async fn read(&mut self) -> Option<Response> {
+        monoio::time::timeout(READ_TIMEOUT, self.read_response()).await.expect("answered in time")
     }
 
-    async fn read_answer(&mut self) -> Option<Got> {
+    async fn read_response(&mut self) -> Option<Response> {
         let head = self.reader.response_head(&Method::GET).await.ok()?;
         let mut decoder = h1::Decoder::new(head.framing);
         let mut body = Vec::new();
@@ -305,21 +305,22 @@
             }
         };
         let body = String::from_utf8_lossy(&body).into_owned();
-        Some(Got { status: head.status.as_u16(), headers: head.headers, body, whole })
+        Some(Response { status: head.status.as_u16(), headers: head.headers, body, whole })
     }
 
-    pub async fn ask(&mut self, request: &str) -> Got {
+    /// Sends a request and reads its response.
+    pub async fn ask(&mut self, request: &str) -> Response {
         self.write(request).await;
-        self.read().await.expect("an answer")
+        self.read().await.expect("a response")
     }
 }
 
-/// A request without a body.
+/// Returns a request without a body.
 pub fn get(path: &str, id: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: seeds.example\r\nx-id: {id}\r\nx-deadline: 500\r\n\r\n")
 }
 
-/// A request that must not run twice.
+/// Returns a request that must not run twice.
 pub fn post(id: &str) -> String {
     format!(
         "POST /post/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: {id}\r\nx-deadline: 500\r\n\
@@ -327,7 +328,7 @@
     )
 }
 
-/// A request that must not run twice, whose body is sent on while it comes in.
+/// Returns a request that must not run twice, with a body long enough to be streamed.
 pub fn long_post(id: &str) -> String {
     let body = "seed".repeat(50_000);
     format!(
@@ -337,12 +338,12 @@
     )
 }
 
-/// Runs a test on the runtime that all processes use.
+/// Runs a test on the runtime that the programs use.
 pub fn run<F: std::future::Future<Output = ()>>(test: F) {
     web::runtime().block_on(test);
 }
 
-/// Reads what is left on a raw connection.
+/// Reads a raw connection to its end.
 pub async fn read_to_end(mut stream: TcpStream) -> String {
     let mut text = String::new();
     loop {
--- a/crates/edge/src/tests/homes.rs
+++ b/crates/edge/src/tests/homes.rs
@@ -6,7 +6,7 @@
 use route::{ClientLimits, Region, RetryPolicy, Route, Service, Table, Target};
 use wire::Standing;
 
-use super::fake::{answer, get, ms, run, start, table, Caller, Entered, Upstream};
+use super::fake::{get, ms, ok_response, run, start, table, Caller, EntryNode, Upstream};
 use super::fleet::{addr, serving, state_at};
 use crate::directory::{addresses, Asker};
 
@@ -34,7 +34,7 @@
 }
 
 /// Starts a node in zone `a` before upstreams in `a` and `b`, whose requests have these homes.
-pub fn start_with_homes(upstreams: &[&Upstream], homes: &[&str]) -> Entered {
+pub fn start_with_homes(upstreams: &[&Upstream], homes: &[&str]) -> EntryNode {
     let entered = start(upstreams);
     {
         let state = &mut *entered.node.state.borrow_mut();
@@ -53,8 +53,8 @@
 fn a_request_runs_in_its_homes_only() {
     run(async {
         let (near, far) = (
-            Upstream::start(vec![vec![answer("near")]]),
-            Upstream::start(vec![vec![answer("far")]]),
+            Upstream::start(vec![vec![ok_response("near")]]),
+            Upstream::start(vec![vec![ok_response("far")]]),
         );
         let entered = start_with_homes(&[&near, &far], &["south"]);
         for id in 0..10 {
--- a/crates/edge/src/tests/idle.rs
+++ b/crates/edge/src/tests/idle.rs
@@ -1,72 +1,72 @@
-//! Connections that upstreams forget while they rest.
+//! Idle connections that upstreams drop without closing them.
 
 use std::time::Instant;
 
-use super::fake::{answer, ms, post, run, start, up, Act, Caller, Entered, Upstream};
+use super::fake::{
+    incarnation, ms, ok_response, post, run, start, Caller, EntryNode, Step, Upstream,
+};
 
-/// An entry node that may ask its one upstream, with one connection to it that rested.
-async fn with_rested_connection(upstream: &Upstream) -> Entered {
-    let entered = start(&[upstream]);
+/// Returns an entry node that may probe its one upstream and has one idle connection to it.
+async fn with_idle_connection(upstream: &Upstream) -> EntryNode {
+    let entry_node = start(&[upstream]);
     {
-        let state = &mut *entered.node.state.borrow_mut();
+        let state = &mut *entry_node.node.state.borrow_mut();
         state.settings.max_probes_per_upstream_per_s = 50.0;
         let load = place::Load { running: 0, waiting: 0, slots: 4, slowness: 1.0 };
         let pool = state.pools.get_mut("desk").expect("a pool");
-        pool.record_report(&up("u0"), Some(load), Instant::now());
+        pool.record_report(&incarnation("u0"), Some(load), Instant::now());
     }
-    let got = Caller::connect(entered.addr).await.ask(&post("1")).await;
-    assert_eq!(got.status, 200);
+    let response = Caller::connect(entry_node.addr).await.ask(&post("1")).await;
+    assert_eq!(response.status, 200);
     monoio::time::sleep(ms(150)).await;
-    entered
+    entry_node
 }
 
-/// Symptom: a claim is answered 502 and nobody knows whether it took effect.
-/// Sequence: a connection rests for a while; its upstream forgets it without a word; a claim is
-/// sent on it and reset.
-/// Cause: trusting the time for which the upstream said that it keeps connections.
+/// Guards against sending a non-idempotent request on an idle connection that its upstream dropped
+/// silently, earlier than its keep-alive timeout: it is reset and answered 502, and the caller
+/// cannot tell whether it took effect.
 #[test]
-fn a_claim_is_not_sent_on_a_connection_that_was_forgotten() {
+fn a_non_idempotent_request_is_not_sent_on_a_dropped_connection() {
     run(async {
-        let scripts = vec![vec![answer("one")], vec![Act::Close], vec![answer("two")]];
+        let scripts = vec![vec![ok_response("one")], vec![Step::Close], vec![ok_response("two")]];
         let upstream = Upstream::start(scripts);
-        let entered = with_rested_connection(&upstream).await;
-        let (service, id) = ("desk".into(), up("u0"));
-        let node = &entered.node;
+        let entry_node = with_idle_connection(&upstream).await;
+        let (service, id) = ("desk".into(), incarnation("u0"));
+        let node = &entry_node.node;
         let conn = node.sure_connection(&service, &id, upstream.addr, ms(200)).await;
-        assert!(!conn.expect("connects").used, "the rested connection was trusted");
+        assert!(!conn.expect("connects").used, "the idle connection was used unverified");
         assert_eq!(upstream.connections.get(), 2);
         let seen = upstream.seen.borrow();
-        assert_eq!(seen.last().expect("asked").head.target, "/healthz");
+        assert_eq!(seen.last().expect("the upstream received a probe").head.target, "/healthz");
     });
 }
 
 #[test]
-fn a_rested_connection_that_answers_is_used() {
+fn a_verified_idle_connection_is_used() {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("one")]]);
-        let entered = with_rested_connection(&upstream).await;
-        let (service, id) = ("desk".into(), up("u0"));
-        let node = &entered.node;
+        let upstream = Upstream::start(vec![vec![ok_response("one")]]);
+        let entry_node = with_idle_connection(&upstream).await;
+        let (service, id) = ("desk".into(), incarnation("u0"));
+        let node = &entry_node.node;
         let conn = node.sure_connection(&service, &id, upstream.addr, ms(200)).await;
         assert!(conn.expect("connects").used);
         assert_eq!((upstream.connections.get(), upstream.runs()), (1, 2));
     });
 }
 
-/// Symptom: one restart of an upstream's connections costs a request per kept connection.
-/// Sequence: three connections are kept; the upstream forgets them all; requests come one by one.
-/// Cause: the older ones are tried after the youngest was found dead.
+/// Guards against losing a request per pooled connection when an upstream drops them all: once the
+/// youngest is found dead, the older ones must not be tried.
 #[test]
-fn connections_that_rested_longer_than_a_dead_one_are_not_tried() {
+fn connections_idle_for_longer_than_a_dead_one_are_not_tried() {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("one")], vec![Act::Close]]);
-        let entered = with_rested_connection(&upstream).await;
-        let (service, id) = ("desk".into(), up("u0"));
-        let node = &entered.node;
-        let more = node.conns.open(&id, upstream.addr, ms(200)).await.expect("connects");
-        let rested = node.conns.take(&id).await.expect("kept");
-        node.conns.put(&id, more);
-        node.conns.put(&id, rested);
+        let upstream = Upstream::start(vec![vec![ok_response("one")], vec![Step::Close]]);
+        let entry_node = with_idle_connection(&upstream).await;
+        let (service, id) = ("desk".into(), incarnation("u0"));
+        let node = &entry_node.node;
+        let new = node.conns.open(&id, upstream.addr, ms(200)).await.expect("connects");
+        let idle = node.conns.take(&id).await.expect("kept");
+        node.conns.put(&id, new);
+        node.conns.put(&id, idle);
         monoio::time::sleep(ms(150)).await;
         let conn = node.sure_connection(&service, &id, upstream.addr, ms(200)).await;
         conn.expect("connects");
--- a/crates/edge/src/tests/mod.rs
+++ b/crates/edge/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole request path over loopback, against upstreams that do as they are told.
+//! Tests of the whole request path over loopback, with scripted upstreams.
 
 mod beliefs;
 mod budgets;
--- a/crates/edge/src/tests/requests.rs
+++ b/crates/edge/src/tests/requests.rs
@@ -1,31 +1,31 @@
-//! What callers are told, and what upstreams run, when sends go wrong.
+//! What callers receive, and what upstreams run, when sends fail.
 
 use std::time::{Duration, Instant};
 
 use super::fake::{
-    answer, get, ms, post, read_to_end, refusal, run, start, up, write_raw, Act, Caller, Entered,
-    Upstream,
+    get, incarnation, ms, ok_response, post, read_to_end, refusal, run, start, write_raw, Caller,
+    EntryNode, Step, Upstream,
 };
 
-fn text(text: &str) -> Act {
-    Act::Write(text.to_owned())
+fn text(text: &str) -> Step {
+    Step::Write(text.to_owned())
 }
 
 #[test]
 fn a_request_reaches_an_upstream_as_the_caller_sent_it() {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("beans")]]);
-        let entered = start(&[&upstream]);
-        let mut caller = Caller::connect(entered.addr).await;
-        let got = caller
+        let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
+        let entry_node = start(&[&upstream]);
+        let mut caller = Caller::connect(entry_node.addr).await;
+        let response = caller
             .ask(
                 "GET /get/a%20b?c=d HTTP/1.1\r\nHost: Seeds.Example:80\r\nx-id: 7\r\n\
                  x-deadline: 400\r\nx-expect: forged\r\nConnection: keep-alive, x-hop\r\n\
                  x-hop: 1\r\nx-other: 2\r\n\r\n",
             )
             .await;
-        assert_eq!((got.status, got.body.as_str()), (200, "beans"));
-        assert_eq!(got.headers["x-signature"], "s");
+        assert_eq!((response.status, response.body.as_str()), (200, "beans"));
+        assert_eq!(response.headers["x-signature"], "s");
         let seen = upstream.seen.borrow()[0].clone();
         assert_eq!(seen.head.target, "/get/a%20b?c=d");
         assert_eq!(seen.head.headers["host"], "Seeds.Example:80");
@@ -37,55 +37,52 @@
     });
 }
 
-/// Symptom: a claim takes effect twice.
-/// Sequence: an upstream runs it and its answer is lost: the connection closes, breaks off midway
-/// or carries something that is no answer.
-/// Cause: sending again what may have run.
+/// Guards against running a non-idempotent request twice: an upstream runs it and its response is
+/// lost (the connection closes, or carries a truncated or invalid response), so it must not be sent
+/// again.
 #[yare::parameterized(
-    closed = { vec![Act::Close] },
-    cut = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"), Act::Close] },
-    garbage = { vec![text("\u{1}\u{2}\u{3}"), Act::Close] },
+    closed = { vec![Step::Close] },
+    cut = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"), Step::Close] },
+    garbage = { vec![text("\u{1}\u{2}\u{3}"), Step::Close] },
     unsigned = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 2\r\n\r\nok")] },
     encoded = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-encoding: gzip\r\ncontent-length: 2\r\n\r\nok")] },
     ambiguous = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nok")] },
 )]
-fn a_request_that_may_have_run_is_not_sent_again(script: Vec<Act>) {
+fn a_request_that_may_have_run_is_not_sent_again(script: Vec<Step>) {
     run(async {
         let first = Upstream::start(vec![script]);
-        let second = Upstream::start(vec![vec![answer("again")]]);
-        let entered = start(&[&first, &second]);
-        let got = Caller::connect(entered.addr).await.ask(&post("7")).await;
+        let second = Upstream::start(vec![vec![ok_response("again")]]);
+        let entry_node = start(&[&first, &second]);
+        let response = Caller::connect(entry_node.addr).await.ask(&post("7")).await;
         assert_eq!((first.runs(), second.runs()), (1, 0));
-        assert_eq!(got.status, 502, "a status that promises nothing");
-        assert!(!got.headers.contains_key("retry-after"));
-        assert!(!got.headers.contains_key("x-signature"));
+        assert_eq!(response.status, 502, "a status that does not tell whether the request ran");
+        assert!(!response.headers.contains_key("retry-after"));
+        assert!(!response.headers.contains_key("x-signature"));
     });
 }
 
-/// Symptom: a board stays blank although another upstream could have answered.
-/// Sequence: as above, with a request that may run twice.
-/// Cause: giving up after the first failure.
+/// Guards against giving up on an idempotent request after the first lost response or error,
+/// although another upstream could answer it.
 #[yare::parameterized(
-    closed = { vec![Act::Close] },
-    cut = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"), Act::Close] },
+    closed = { vec![Step::Close] },
+    cut = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"), Step::Close] },
     error = { vec![text("HTTP/1.1 500 Oops\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 0\r\n\r\n")] },
-    silent = { vec![Act::Wait(ms(5_000))] },
+    silent = { vec![Step::Wait(ms(5_000))] },
 )]
-fn an_idempotent_request_is_sent_to_a_second_upstream(script: Vec<Act>) {
+fn an_idempotent_request_is_sent_to_a_second_upstream(script: Vec<Step>) {
     run(async {
         let first = Upstream::start(vec![script]);
-        let second = Upstream::start(vec![vec![answer("beans")]]);
-        let entered = start(&[&first, &second]);
-        let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "7")).await;
-        assert_eq!((got.status, got.body.as_str()), (200, "beans"));
+        let second = Upstream::start(vec![vec![ok_response("beans")]]);
+        let entry_node = start(&[&first, &second]);
+        let response = Caller::connect(entry_node.addr).await.ask(&get("/get/1", "7")).await;
+        assert_eq!((response.status, response.body.as_str()), (200, "beans"));
         assert_eq!((first.runs(), second.runs()), (1, 1));
     });
 }
 
-/// Symptom: a caller is told 502 by the node though the upstream had answered.
-/// Sequence: an upstream answers a read with an error of its own; the budget of second sends is
-/// used up.
-/// Cause: forgetting the answer once a second send was meant.
+/// Guards against a 502 of the node in place of the upstream's own response: an upstream answers a
+/// read with an error, and the retry budget is exhausted. The response must be kept while a second
+/// send is attempted.
 #[test]
 fn an_upstreams_error_is_passed_on_when_no_second_send_is_allowed() {
     run(async {
@@ -93,41 +90,40 @@
             "HTTP/1.1 500 Oops\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 3\r\n\r\nwhy";
         let first = Upstream::start(vec![vec![text(error)]]);
         let second = Upstream::start(vec![vec![text(error)]]);
-        let entered = start(&[&first, &second]);
-        while entered.node.state.borrow_mut().try_second_send(&"desk".into()) {}
-        let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "7")).await;
-        assert_eq!((got.status, got.body.as_str()), (500, "why"));
-        assert!(got.headers.contains_key("x-signature"));
+        let entry_node = start(&[&first, &second]);
+        while entry_node.node.state.borrow_mut().try_second_send(&"desk".into()) {}
+        let response = Caller::connect(entry_node.addr).await.ask(&get("/get/1", "7")).await;
+        assert_eq!((response.status, response.body.as_str()), (500, "why"));
+        assert!(response.headers.contains_key("x-signature"));
         assert_eq!(first.runs() + second.runs(), 1);
     });
 }
 
-/// Symptom: a caller is told that a request did not run though it may have.
-/// Sequence: a read is overdue and hedged; the first upstream closes its connection without an
-/// answer; the second one refuses.
-/// Cause: telling what the last send came to, not what both did.
+/// Guards against reporting that a request did not run although it may have: it is hedged, the
+/// first upstream closes its connection without a response, and the second one refuses. The reply
+/// must account for both sends, not only for the last.
 #[test]
-fn a_hedge_that_is_refused_does_not_hide_what_the_first_send_came_to() {
+fn a_refused_hedge_does_not_hide_the_outcome_of_the_first_send() {
     run(async {
-        let first = Upstream::start(vec![vec![Act::Wait(ms(300)), Act::Close]]);
-        let second = Upstream::start(vec![vec![Act::Wait(ms(120)), refusal("503 Full")]]);
-        let entered = start(&[&first, &second]);
-        let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "7")).await;
+        let first = Upstream::start(vec![vec![Step::Wait(ms(300)), Step::Close]]);
+        let second = Upstream::start(vec![vec![Step::Wait(ms(120)), refusal("503 Full")]]);
+        let entry_node = start(&[&first, &second]);
+        let response = Caller::connect(entry_node.addr).await.ask(&get("/get/1", "7")).await;
         assert_eq!((first.runs(), second.runs()), (1, 1));
-        assert_eq!(got.status, 502);
+        assert_eq!(response.status, 502);
     });
 }
 
-/// Symptom: upstreams reset connections beyond their bound.
-/// Sequence: five requests at once; an upstream takes two connections from this node.
-/// Cause: a connection for each request that finds none idle.
+/// Guards against opening a connection for each request that finds no idle one: upstreams reset
+/// connections beyond their limit. Here five requests come at once, and the upstream accepts two
+/// connections from this node.
 #[test]
 fn a_node_keeps_to_its_share_of_an_upstreams_connections() {
     run(async {
-        let upstream = Upstream::start(vec![vec![Act::Wait(ms(150)), answer("beans")]]);
-        let entered = start(&[&upstream]);
+        let upstream = Upstream::start(vec![vec![Step::Wait(ms(150)), ok_response("beans")]]);
+        let entry_node = start(&[&upstream]);
         {
-            let mut state = entered.node.state.borrow_mut();
+            let mut state = entry_node.node.state.borrow_mut();
             let mut table = state.table.as_deref().cloned().expect("a table");
             table.version += 1;
             let service = table.services.get_mut("desk").expect("the service");
@@ -136,13 +132,13 @@
         }
         let mut callers = Vec::new();
         for id in 0..5 {
-            let mut caller = Caller::connect(entered.addr).await;
+            let mut caller = Caller::connect(entry_node.addr).await;
             caller.write(&post(&id.to_string())).await;
             callers.push(caller);
         }
         let mut statuses = Vec::new();
         for mut caller in callers {
-            statuses.push(caller.read().await.expect("an answer").status);
+            statuses.push(caller.read().await.expect("a response").status);
         }
         statuses.sort_unstable();
         assert_eq!(statuses, [200, 200, 503, 503, 503]);
@@ -150,9 +146,8 @@
     });
 }
 
-/// Symptom: a claim fails although the upstream said that it did not run it.
-/// Sequence: the first upstream is full, or another one has its address now.
-/// Cause: treating a refusal like a lost answer.
+/// Guards against treating a refusal like a lost response: the first upstream is full, or another
+/// one has its address now, and states that it did not run the request.
 #[yare::parameterized(
     full = { "503 Full" },
     too_many = { "429 Too Many Requests" },
@@ -161,42 +156,46 @@
 fn a_refused_request_is_sent_to_another_upstream(status: &str) {
     run(async {
         let first = Upstream::start(vec![vec![refusal(status)]]);
-        let second = Upstream::start(vec![vec![answer("beans")]]);
-        let entered = start(&[&first, &second]);
-        let got = Caller::connect(entered.addr).await.ask(&post("7")).await;
-        assert_eq!((got.status, got.body.as_str()), (200, "beans"));
-        let listed = entered.node.state.borrow().pools["desk"].position(&up("u0")).is_some();
-        assert_eq!(listed, !status.starts_with("421"), "gone once another has its address");
+        let second = Upstream::start(vec![vec![ok_response("beans")]]);
+        let entry_node = start(&[&first, &second]);
+        let response = Caller::connect(entry_node.addr).await.ask(&post("7")).await;
+        assert_eq!((response.status, response.body.as_str()), (200, "beans"));
+        let listed =
+            entry_node.node.state.borrow().pools["desk"].position(&incarnation("u0")).is_some();
+        assert_eq!(
+            listed,
+            !status.starts_with("421"),
+            "removed once another upstream has its address"
+        );
     });
 }
 
 #[test]
-fn a_request_refused_everywhere_is_told_at_once_when_to_come_back() {
+fn a_request_refused_everywhere_gets_a_retry_time_at_once() {
     run(async {
         let first = Upstream::start(vec![vec![refusal("503 Full")]]);
         let second = Upstream::start(vec![vec![refusal("503 Full")]]);
-        let entered = start(&[&first, &second]);
+        let entry_node = start(&[&first, &second]);
         let asked_at = std::time::Instant::now();
-        let got = Caller::connect(entered.addr).await.ask(&post("7")).await;
-        assert_eq!(got.status, 503);
-        let seconds: f64 = got.headers["retry-after"].to_str().unwrap().parse().unwrap();
+        let response = Caller::connect(entry_node.addr).await.ask(&post("7")).await;
+        assert_eq!(response.status, 503);
+        let seconds: f64 = response.headers["retry-after"].to_str().unwrap().parse().unwrap();
         assert!(seconds > 0.0 && seconds < 0.4, "{seconds}");
         assert!(asked_at.elapsed() < ms(400));
     });
 }
 
-/// Symptom: a gardener gets another gardener's answer.
-/// Sequence: an upstream sends a second answer to an earlier request, late, when the next request
-/// on the connection is already waiting for its own.
-/// Cause: taking whatever comes first for the answer.
+/// Guards against delivering one caller's response to another: an upstream sends a second response
+/// to an earlier request late, while the next request on the connection waits for its own.
 #[test]
-fn a_late_answer_to_another_request_reaches_nobody() {
+fn a_late_response_to_another_request_is_discarded() {
     run(async {
         let stray =
             "HTTP/1.1 200 OK\r\nx-id: 6\r\nx-signature: s\r\ncontent-length: 5\r\n\r\nother";
-        let upstream = Upstream::start(vec![vec![answer("one")], vec![text(stray), answer("two")]]);
-        let entered = start(&[&upstream]);
-        let mut caller = Caller::connect(entered.addr).await;
+        let upstream =
+            Upstream::start(vec![vec![ok_response("one")], vec![text(stray), ok_response("two")]]);
+        let entry_node = start(&[&upstream]);
+        let mut caller = Caller::connect(entry_node.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "6")).await.body, "one");
         assert_eq!(caller.ask(&post("7")).await.body, "two");
         assert_eq!(caller.ask(&post("8")).await.body, "two");
@@ -204,16 +203,15 @@
     });
 }
 
-/// Symptom: as above.
-/// Sequence: the second answer comes at once, behind the first, before the next request.
-/// Cause: reusing a connection with bytes on it that nobody asked for.
+/// Guards against the same failure when the second response follows the first at once, before the
+/// next request: a connection with unexpected bytes on it must not be reused.
 #[test]
-fn a_surplus_answer_retires_its_connection() {
+fn a_surplus_response_retires_its_connection() {
     run(async {
-        let twice = vec![answer("one"), answer("one")];
-        let upstream = Upstream::start(vec![twice, vec![answer("two")]]);
-        let entered = start(&[&upstream]);
-        let mut caller = Caller::connect(entered.addr).await;
+        let twice = vec![ok_response("one"), ok_response("one")];
+        let upstream = Upstream::start(vec![twice, vec![ok_response("two")]]);
+        let entry_node = start(&[&upstream]);
+        let mut caller = Caller::connect(entry_node.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "6")).await.body, "one");
         monoio::time::sleep(ms(20)).await;
         assert_eq!(caller.ask(&get("/get/1", "7")).await.body, "two");
@@ -221,38 +219,37 @@
     });
 }
 
-/// Symptom: upstreams work for callers that are long gone.
-/// Sequence: a caller leaves while an upstream works.
-/// Cause: noticing it only when the answer is written. A request that must not run twice is left
-/// to end: half of a claim may be worse than all of it.
+/// Guards against upstreams that work for callers long disconnected: the disconnect must be noticed
+/// while the upstream works, not when the response is written. A non-idempotent request is left to
+/// finish: half of its effect may be worse than all of it.
 #[yare::parameterized(
     idempotent = { "/get/1", 1 },
     at_most_once = { "/post/1", 0 },
 )]
-fn a_caller_that_leaves_cancels_what_may_be_cancelled(path: &str, abandoned: u32) {
+fn a_disconnect_cancels_only_idempotent_requests(path: &str, abandoned: u32) {
     run(async {
-        let upstream = Upstream::start(vec![vec![Act::Wait(ms(200)), answer("late")]]);
-        let entered = start(&[&upstream]);
-        let mut caller = Caller::connect(entered.addr).await;
+        let upstream = Upstream::start(vec![vec![Step::Wait(ms(200)), ok_response("late")]]);
+        let entry_node = start(&[&upstream]);
+        let mut caller = Caller::connect(entry_node.addr).await;
         caller.write(&get(path, "7")).await;
         monoio::time::sleep(ms(30)).await;
         drop(caller);
         monoio::time::sleep(ms(100)).await;
         assert_eq!(upstream.abandoned.get(), abandoned);
-        assert_eq!(entered.node.state.borrow().in_flight, u64::from(abandoned == 0));
+        assert_eq!(entry_node.node.state.borrow().in_flight, u64::from(abandoned == 0));
         monoio::time::sleep(ms(200)).await;
-        assert_eq!(entered.node.state.borrow().in_flight, 0);
+        assert_eq!(entry_node.node.state.borrow().in_flight, 0);
     });
 }
 
 #[test]
-fn a_request_without_an_answer_ends_with_its_deadline() {
+fn a_request_without_a_response_ends_at_its_deadline() {
     run(async {
-        let upstream = Upstream::start(vec![vec![Act::Wait(ms(5_000))]]);
-        let entered = start(&[&upstream]);
+        let upstream = Upstream::start(vec![vec![Step::Wait(ms(5_000))]]);
+        let entry_node = start(&[&upstream]);
         let asked_at = std::time::Instant::now();
-        let got = Caller::connect(entered.addr).await.ask(&post("7")).await;
-        assert_eq!(got.status, 504);
+        let response = Caller::connect(entry_node.addr).await.ask(&post("7")).await;
+        assert_eq!(response.status, 504);
         assert!(asked_at.elapsed() >= ms(490));
     });
 }
@@ -267,37 +264,35 @@
 )]
 fn requests_that_cannot_be_served_reach_no_upstream(request: &str, status: u16) {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("beans")]]);
-        let entered = start(&[&upstream]);
-        assert_eq!(Caller::connect(entered.addr).await.ask(request).await.status, status);
+        let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
+        let entry_node = start(&[&upstream]);
+        assert_eq!(Caller::connect(entry_node.addr).await.ask(request).await.status, status);
         assert_eq!(upstream.runs(), 0);
     });
 }
 
-/// Symptom: callers are told that a route does not exist right after a node started.
-/// Sequence: a request comes before the first configuration.
-/// Cause: taking no configuration for one without routes.
+/// Guards against answering that a route does not exist before a started node has its first
+/// configuration: no configuration is not a configuration without routes.
 #[test]
-fn a_node_without_configuration_asks_callers_to_come_back() {
+fn a_node_without_configuration_asks_callers_to_retry() {
     run(async {
-        let entered = start(&[]);
-        entered.node.state.borrow_mut().table = None;
-        let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "7")).await;
-        assert_eq!(got.status, 503);
-        assert!(got.headers.contains_key("retry-after"));
+        let entry_node = start(&[]);
+        entry_node.node.state.borrow_mut().table = None;
+        let response = Caller::connect(entry_node.addr).await.ask(&get("/get/1", "7")).await;
+        assert_eq!(response.status, 503);
+        assert!(response.headers.contains_key("retry-after"));
     });
 }
 
-/// Symptom: an upstream runs a request that hid in the body of another.
-/// Sequence: a caller pipelines a second request behind a refused one on the same connection.
-/// Cause: reading on after the end of the first can no longer be told.
+/// Guards against request smuggling, where an upstream runs a request hidden in the body of
+/// another: when the end of a rejected request is ambiguous, nothing after it may be parsed.
 #[test]
-fn nothing_is_read_behind_an_ambiguous_request() {
+fn nothing_is_parsed_after_an_ambiguous_request() {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("beans")]]);
-        let entered = start(&[&upstream]);
+        let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
+        let entry_node = start(&[&upstream]);
         let mut stream =
-            monoio::net::TcpStream::connect_addr(entered.addr).await.expect("connects");
+            monoio::net::TcpStream::connect_addr(entry_node.addr).await.expect("connects");
         let both = format!(
             "POST /get/1 HTTP/1.1\r\nHost: seeds.example\r\nContent-Length: 3\r\n\
              Transfer-Encoding: chunked\r\n\r\n{}",
@@ -311,21 +306,19 @@
     });
 }
 
-/// Symptom: requests fail although another upstream is idle, and the budget of second sends is
-/// used up while an upstream is down.
-/// Sequence: an upstream is gone and refuses connections.
-/// Cause: counting a connection that was never made as a send.
+/// Guards against counting a refused connection as a send: while an upstream is down, the retry
+/// budget would be used up, and requests would fail although another upstream is idle.
 #[test]
 fn an_upstream_that_cannot_be_reached_costs_no_second_send() {
     run(async {
-        let second = Upstream::start(vec![vec![answer("beans")]]);
+        let second = Upstream::start(vec![vec![ok_response("beans")]]);
         let gone = Upstream { addr: unused_addr(), ..Upstream::start(Vec::new()) };
-        let entered = start(&[&gone, &second]);
+        let entry_node = start(&[&gone, &second]);
         for id in 0..5 {
-            let got = Caller::connect(entered.addr).await.ask(&post(&id.to_string())).await;
-            assert_eq!(got.status, 200);
+            let response = Caller::connect(entry_node.addr).await.ask(&post(&id.to_string())).await;
+            assert_eq!(response.status, 200);
         }
-        assert_eq!(entered.node.state.borrow().counters.second_sends, 0);
+        assert_eq!(entry_node.node.state.borrow().counters.second_sends, 0);
     });
 }
 
@@ -334,74 +327,71 @@
     listener.local_addr().expect("bound")
 }
 
-/// Starts an entry node as if `ago` before now, which holds its configuration only after `table_after`.
-fn start_without_config(upstream: &Upstream, ago: Duration, table_after: Duration) -> Entered {
-    let entered = start(&[upstream]);
-    let table = entered.node.state.borrow_mut().table.take();
-    entered.node.state.borrow_mut().started_at = Instant::now() - ago;
-    let node = entered.node.clone();
+/// Starts an entry node with a start time `ago` before now, which gets its configuration after
+/// `table_after`.
+fn start_without_config(upstream: &Upstream, ago: Duration, table_after: Duration) -> EntryNode {
+    let entry_node = start(&[upstream]);
+    let table = entry_node.node.state.borrow_mut().table.take();
+    entry_node.node.state.borrow_mut().started_at = Instant::now() - ago;
+    let node = entry_node.node.clone();
     monoio::spawn(async move {
         monoio::time::sleep(table_after).await;
         node.state.borrow_mut().table = table;
     });
-    entered
+    entry_node
 }
 
-/// Symptom: after all entry nodes lost power, callers that are there when they are back get 503,
-/// and many of them have no further try.
-/// Sequence: a node listens; a request comes; the configuration is read 60 ms later.
-/// Cause: refusing what can be served in a moment.
+/// Guards against refusing a request that can be served a moment later: a node accepts connections,
+/// and its configuration is read 60 ms after a request. After a power loss of all entry nodes, many
+/// callers that got 503 had no attempt left.
 #[test]
 fn a_request_waits_for_a_node_that_is_just_starting() {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("beans")]]);
-        let entered = start_without_config(&upstream, ms(0), ms(60));
-        let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "7")).await;
-        assert_eq!((got.status, got.body.as_str()), (200, "beans"));
+        let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
+        let entry_node = start_without_config(&upstream, ms(0), ms(60));
+        let response = Caller::connect(entry_node.addr).await.ask(&get("/get/1", "7")).await;
+        assert_eq!((response.status, response.body.as_str()), (200, "beans"));
     });
 }
 
-/// Symptom: after a restart of all nodes callers are refused half a second long, though each node could
-/// serve them a moment later.
-/// Sequence: the platform answers slowly; the configuration is read 600 ms after the start. Halfway
-/// there a caller comes that has four seconds, and one that has 200 ms, whose attempt is lost before
-/// the node is ready.
-/// Cause: a wait of the same length for all.
+/// Guards against a wait of the same length for all callers: after a restart of all nodes, they
+/// were refused for half a second. Here the configuration is read 600 ms after the start, and a
+/// request comes halfway: one with a deadline of four seconds can wait, one with 200 ms cannot.
 #[yare::parameterized(
     with_time = { "4000", 200, ms(300), ms(600) },
     without_time = { "200", 503, ms(0), ms(150) },
 )]
-fn a_request_waits_for_a_starting_node_by_the_time_that_it_has(
+fn a_request_waits_for_a_starting_node_in_proportion_to_its_deadline(
     deadline_ms: &str,
     status: u16,
     at_least: Duration,
     at_most: Duration,
 ) {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("beans")]]);
-        let entered = start_without_config(&upstream, ms(300), ms(300));
+        let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
+        let entry_node = start_without_config(&upstream, ms(300), ms(300));
         let asked_at = Instant::now();
         let request = get("/get/1", "7").replace("500", deadline_ms);
-        let got = Caller::connect(entered.addr).await.ask(&request).await;
-        let took = asked_at.elapsed();
-        assert_eq!(got.status, status);
-        assert!((at_least..at_most).contains(&took), "{took:?}");
+        let response = Caller::connect(entry_node.addr).await.ask(&request).await;
+        let elapsed = asked_at.elapsed();
+        assert_eq!(response.status, status);
+        assert!((at_least..at_most).contains(&elapsed), "{elapsed:?}");
     });
 }
 
-/// Symptom: callers of a node that was started during an outage wait until their deadline.
-/// Sequence: a node that started a second ago holds no configuration; a request comes.
-/// Cause: waiting for what may never come.
+/// Guards against callers that wait until their deadline at a node that was started during an
+/// outage of the platform: a second after its start, it still has no configuration and may never
+/// get one.
 #[test]
-fn a_node_that_holds_nothing_refuses_at_once() {
+fn a_node_still_without_configuration_refuses_at_once() {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("beans")]]);
-        let entered = start(&[&upstream]);
-        entered.node.state.borrow_mut().table = None;
-        entered.node.state.borrow_mut().started_at = Instant::now() - ms(1_000);
-        let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "7")).await;
-        assert_eq!(got.status, 503);
-        assert!(got.headers.contains_key("retry-after"));
+        let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
+        let entry_node = start(&[&upstream]);
+        entry_node.node.state.borrow_mut().table = None;
+        entry_node.node.state.borrow_mut().started_at = Instant::now() - ms(1_000);
+        let response = Caller::connect(entry_node.addr).await.ask(&get("/get/1", "7")).await;
+        assert_eq!(response.status, 503);
+        assert!(response.headers.contains_key("retry-after"));
         assert_eq!(upstream.runs(), 0);
     });
 }
--- a/crates/edge/src/tests/restarts.rs
+++ b/crates/edge/src/tests/restarts.rs
@@ -4,11 +4,13 @@
 
 use place::{Event, Incarnation};
 
-use super::fake::{answer, get, ms, post, run, start, up, Act, Caller, Entered, Upstream, BORN_MS};
+use super::fake::{
+    get, incarnation, ms, ok_response, post, run, start, Caller, EntryNode, Step, Upstream, BORN_MS,
+};
 use crate::follow;
 
 /// The upstream `u0` starts again at `addr`, as the platform's list tells.
-fn restart(entered: &Entered, addr: std::net::SocketAddr) -> Incarnation {
+fn restart(entered: &EntryNode, addr: std::net::SocketAddr) -> Incarnation {
     let listed: Vec<place::Entry> = entered.node.state.borrow().roster.entries().cloned().collect();
     let mut entry = listed.into_iter().find(|entry| entry.id == "u0").expect("listed");
     (entry.born_ms, entry.addr) = (BORN_MS + 700, addr);
@@ -23,12 +25,12 @@
 #[test]
 fn connections_to_an_earlier_start_are_not_used() {
     run(async {
-        let upstream = Upstream::start(vec![vec![answer("beans")]]);
+        let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
         let entered = start(&[&upstream]);
         let mut caller = Caller::connect(entered.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "1")).await.status, 200);
         let later = restart(&entered, upstream.addr);
-        assert!(!entered.node.conns.has(&up("u0")) && !entered.node.conns.has(&later));
+        assert!(!entered.node.conns.has(&incarnation("u0")) && !entered.node.conns.has(&later));
         assert_eq!(caller.ask(&get("/get/1", "2")).await.status, 200);
         assert_eq!(upstream.connections.get(), 2);
         assert!(entered.node.conns.has(&later));
@@ -42,8 +44,8 @@
 #[test]
 fn what_was_under_way_at_an_earlier_start_neither_runs_again_nor_counts_against_the_later() {
     run(async {
-        let earlier = Upstream::start(vec![vec![Act::Wait(ms(150)), Act::Close]]);
-        let later = Upstream::start(vec![vec![answer("again")]]);
+        let earlier = Upstream::start(vec![vec![Step::Wait(ms(150)), Step::Close]]);
+        let later = Upstream::start(vec![vec![ok_response("again")]]);
         let entered = start(&[&earlier]);
         let mut caller = Caller::connect(entered.addr).await;
         caller.write(&post("1")).await;
@@ -64,7 +66,7 @@
 #[test]
 fn an_upstream_that_is_back_at_once_has_crashed_all_the_same() {
     run(async {
-        let earlier = Upstream::start(vec![vec![Act::Wait(ms(20)), Act::Close]]);
+        let earlier = Upstream::start(vec![vec![Step::Wait(ms(20)), Step::Close]]);
         let entered = start(&[&earlier]);
         let mut caller = Caller::connect(entered.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "1")).await.status, 502);
--- a/crates/edge/src/tests/rests.rs
+++ b/crates/edge/src/tests/rests.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::callers::{ask_all, nodes};
-use super::fake::{answer, get, long_post, ms, post, run, start, Act, Caller, Upstream};
+use super::fake::{get, long_post, ms, ok_response, post, run, start, Caller, Step, Upstream};
 use super::homes::{start_with_homes, table_with_homes};
 
 /// Time in which what was sent before the word arrives.
@@ -12,15 +12,15 @@
 /// Requests that an upstream may get from a node while it rests.
 const MOST: usize = 2;
 
-fn rest(seconds: &str) -> Vec<Act> {
-    vec![Act::Write(format!(
+fn rest(seconds: &str) -> Vec<Step> {
+    vec![Step::Write(format!(
         "HTTP/1.1 503 Service Unavailable\r\nx-id: {{id}}\r\nx-not-run: 1\r\n\
          retry-after: {seconds}\r\ncontent-length: 0\r\n\r\n"
     ))]
 }
 
-fn prompt() -> Vec<Act> {
-    vec![Act::Wait(ms(5)), answer("")]
+fn prompt() -> Vec<Step> {
+    vec![Step::Wait(ms(5)), ok_response("")]
 }
 
 /// Returns how many requests came between `from` and `to` after the first.
@@ -100,7 +100,7 @@
 #[test]
 fn one_request_shows_whether_a_rest_is_over() {
     run(async {
-        let slow = vec![Act::Wait(ms(200)), answer("")];
+        let slow = vec![Step::Wait(ms(200)), ok_response("")];
         let upstream = Upstream::start(vec![rest("1"), slow, prompt()]);
         let other = Upstream::start(vec![prompt()]);
         let nodes = nodes(&[&upstream, &other]);
