--- a/crates/edge/src/serve/responses.rs
+++ b/crates/edge/src/serve/responses.rs
@@ -17,7 +17,7 @@
 
 /// Timeout for each piece of a long response: to receive it from the upstream, and to write it to
 /// the caller.
-const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+const STREAMING_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Writes the responses of a connection until one of them closes it or the caller disconnects.
 ///
@@ -147,12 +147,12 @@
     };
     bytes.extend_from_slice(&encode(&first));
     loop {
-        match monoio::time::timeout(WRITE_TIMEOUT, writer.write(bytes)).await {
+        match monoio::time::timeout(STREAMING_TIMEOUT, writer.write(bytes)).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) | Err(_) => return false,
         }
         let piece = conn.reader.body_piece(&mut decoder);
-        bytes = match monoio::time::timeout(WRITE_TIMEOUT, piece).await {
+        bytes = match monoio::time::timeout(STREAMING_TIMEOUT, piece).await {
             Ok(Ok(Some(piece))) => encode(&piece),
             Ok(Ok(None)) if chunked => return writer.write(h1::LAST_CHUNK.to_vec()).await.is_ok(),
             Ok(Ok(None)) => return true,
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -45,7 +45,7 @@
 /// fails without a second send, whereas a request without a hedge is at worst late.
 const HEDGE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// What is known of another entry node.
+/// Another entry node, as this node knows it.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Its availability zone.
--- a/crates/edge/src/tests/fake.rs
+++ b/crates/edge/src/tests/fake.rs
@@ -268,7 +268,7 @@
     pub headers: http::HeaderMap,
     pub body: String,
     /// Whether the body was received to its end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// A caller's connection.
@@ -297,7 +297,7 @@
         let head = self.reader.response_head(&Method::GET).await.ok()?;
         let mut decoder = h1::Decoder::new(head.framing);
         let mut body = Vec::new();
-        let whole = loop {
+        let complete = loop {
             match self.reader.body_piece(&mut decoder).await {
                 Ok(Some(piece)) => body.extend_from_slice(&piece),
                 Ok(None) => break true,
@@ -305,7 +305,7 @@
             }
         };
         let body = String::from_utf8_lossy(&body).into_owned();
-        Some(Response { status: head.status.as_u16(), headers: head.headers, body, whole })
+        Some(Response { status: head.status.as_u16(), headers: head.headers, body, complete })
     }
 
     /// Sends a request and reads its response.
--- a/crates/edge/src/tests/long.rs
+++ b/crates/edge/src/tests/long.rs
@@ -68,7 +68,7 @@
     complete = { "content-length: 300000\r\n\r\n", false, true },
     until_close = { "\r\n", false, true },
 )]
-fn a_long_response_looks_complete_only_if_it_is(framing: &str, cut: bool, whole: bool) {
+fn a_long_response_looks_complete_only_if_it_is(framing: &str, cut: bool, complete: bool) {
     run(async {
         let head = format!("HTTP/1.1 200 OK\r\nx-id: {{id}}\r\nx-signature: s\r\n{framing}");
         let body = long_body();
@@ -77,8 +77,8 @@
         let upstream = Upstream::start(vec![script]);
         let entry_node = start(&[&upstream]);
         let response = Caller::connect(entry_node.addr).await.ask(&get("/get/1", "7")).await;
-        assert_eq!((response.status, response.whole), (200, whole));
+        assert_eq!((response.status, response.complete), (200, complete));
         assert!(body.starts_with(&response.body));
-        assert_eq!(response.body.len() == LONG_BYTES, whole);
+        assert_eq!(response.body.len() == LONG_BYTES, complete);
     });
 }
--- a/crates/edge/src/tests/pipelining.rs
+++ b/crates/edge/src/tests/pipelining.rs
@@ -317,7 +317,7 @@
         caller.write(&requests).await;
         assert_eq!(caller.read().await.expect("a response").body, "one1");
         let second = caller.read().await.expect("a response");
-        assert!(second.whole && second.body == long, "{} bytes", second.body.len());
+        assert!(second.complete && second.body == long, "{} bytes", second.body.len());
         assert_eq!(caller.read().await.expect("a response").body, "thr3");
     });
 }
