--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -155,11 +155,11 @@
     let mut cursor: Option<Cursor> = None;
     let mut failures = 0;
     loop {
-        if !node.state.borrow().direct {
+        if !node.state.borrow().reads_directly {
             // The platform's history does not repeat what a peer kept through an outage: direct
             // reading always starts with a snapshot.
             (cursor, failures) = (None, 0);
-            let has_state = node.state.borrow().is_in_step();
+            let has_state = node.state.borrow().has_read_all_topics();
             monoio::time::sleep(if has_state { CHECK_INTERVAL } else { STARTUP_CHECK_INTERVAL })
                 .await;
             continue;
@@ -167,7 +167,7 @@
         if cursor.is_none() && topic == Topic::Config {
             wait_for_list(&node).await;
         }
-        let (requested_at, bound) = (Instant::now(), node.state.borrow().bound(topic));
+        let (requested_at, bound) = (Instant::now(), node.state.borrow().staleness_bound(topic));
         let is_long_poll = cursor.is_some() && failures == 0;
         let read = match cursor {
             None => source.snapshot(topic).await,
@@ -198,7 +198,7 @@
                     true => bound.as_of(requested_at, Instant::now(), batch.events.is_empty()),
                     false => requested_at,
                 };
-                node.state.borrow_mut().seen_mut(topic).lease.renew(as_of);
+                node.state.borrow_mut().progress_mut(topic).lease.renew(as_of);
                 // Recorded before the batch is applied: frames to subscribers carry the position.
                 let batch = without_stale_evacuations(&node, topic, batch);
                 if record_progress(&node, topic, batch.cursor, batch.newest) {
@@ -261,7 +261,7 @@
 
 /// Rejects a response that was in flight when the platform was rolled back.
 fn reject_older_era(node: &Node, topic: Topic, batch: Batch) -> Result<Batch, SourceError> {
-    let seen = *node.state.borrow_mut().seen_mut(topic);
+    let seen = *node.state.borrow_mut().progress_mut(topic);
     match history::era(batch.cursor) < history::era(seen.up_to) {
         true => Err(SourceError::HistoryGone),
         false => Ok(batch),
@@ -273,7 +273,7 @@
 /// a zone that has been evacuated since. The next read delivers what changed after the older
 /// state.
 fn without_stale_evacuations(node: &Node, topic: Topic, mut batch: Batch) -> Batch {
-    let seen = *node.state.borrow_mut().seen_mut(topic);
+    let seen = *node.state.borrow_mut().progress_mut(topic);
     let is_same_era = history::era(batch.cursor) == history::era(seen.up_to);
     if topic == Topic::Config && is_same_era && batch.cursor < seen.newest {
         batch.events.retain(|event| !matches!(event, Event::Evacuation { .. }));
@@ -325,14 +325,17 @@
             true => PEER_SEARCH_TIMEOUT,
             false => NON_READER_PEER_SEARCH_TIMEOUT,
         };
-        let is_sure = state.is_sure(topic, Instant::now());
-        state.direct && is_sure && !node.subscribers.is_in_use() && since.elapsed() < timeout
+        let is_sure = state.is_fresh(topic, Instant::now());
+        state.reads_directly
+            && is_sure
+            && !node.subscribers.is_in_use()
+            && since.elapsed() < timeout
     };
     wait_while(CHECK_INTERVAL, may_wait).await;
 }
 
 async fn wait_until_indirect(node: &Node) {
-    wait_while(CHECK_INTERVAL, || node.state.borrow().direct).await;
+    wait_while(CHECK_INTERVAL, || node.state.borrow().reads_directly).await;
 }
 
 /// Waits while a condition holds, and checks it at the given interval.
@@ -351,8 +354,8 @@
 async fn wait_for_list(node: &Node) {
     let may_wait = || {
         let state = node.state.borrow();
-        let serves = state.direct && state.is_in_step();
-        serves && !state.list_is_own && state.is_sure(Topic::Config, Instant::now())
+        let serves = state.reads_directly && state.has_read_all_topics();
+        serves && !state.list_from_platform && state.is_fresh(Topic::Config, Instant::now())
     };
     wait_while(STARTUP_CHECK_INTERVAL, may_wait).await;
 }
@@ -391,14 +394,14 @@
 /// copy since the previous read.
 fn record_progress(node: &Node, topic: Topic, up_to: Cursor, newest: Cursor) -> bool {
     let state = &mut *node.state.borrow_mut();
-    let seen = state.seen_mut(topic);
+    let seen = state.progress_mut(topic);
     let (era, before) = (history::era(up_to), history::era(seen.up_to));
-    let rolled_back = seen.read && era > before;
-    seen.read = true;
+    let rolled_back = seen.has_read && era > before;
+    seen.has_read = true;
     seen.up_to = seen.up_to.max(up_to);
     seen.newest = seen.newest.max(newest);
     if rolled_back {
-        state.times_gone_back += 1;
+        state.store_rollbacks += 1;
         trace::Line::new("store_went_back")
             .field("topic", topic.name())
             .field("era", era)
@@ -433,7 +436,7 @@
 
 /// Disconnects the subscribers: the platform may respond to them where it does not to this node.
 fn drop_subscribers(node: &Node, topic: Topic, requested_at: Instant) {
-    let bound = node.state.borrow().bound(topic);
+    let bound = node.state.borrow().staleness_bound(topic);
     node.subscribers.drop_all(requested_at.elapsed() > bound.long_poll_timeout());
 }
 
@@ -441,7 +444,7 @@
     if topic == Topic::Upstreams {
         let state = &mut *node.state.borrow_mut();
         state.roster.store_answered(Instant::now());
-        state.list_is_own = true;
+        state.list_from_platform = true;
     }
     if failures > 0 {
         trace::Line::new("store_regained")
--- a/crates/edge/src/follow/apply.rs
+++ b/crates/edge/src/follow/apply.rs
@@ -29,7 +29,7 @@
         }
         relay::Frame::Evacuated { up_to, newest, zones } => {
             record_progress(node, Topic::Config, up_to, newest);
-            change_evacuations(node, |evacuations| evacuations.adopt_snapshot(zones));
+            update_evacuations(node, |evacuations| evacuations.adopt_snapshot(zones));
         }
         relay::Frame::Progress { up_to, newest } => {
             record_progress(node, Topic::Upstreams, up_to, newest);
@@ -77,7 +77,7 @@
 }
 
 fn apply_evacuations(node: &Node, changes: Vec<(place::Zone, bool)>, is_snapshot: bool) {
-    change_evacuations(node, |evacuations| match is_snapshot {
+    update_evacuations(node, |evacuations| match is_snapshot {
         true => {
             let is_listed = |(zone, listed): (place::Zone, bool)| listed.then_some(zone);
             evacuations.apply_snapshot(changes.into_iter().filter_map(is_listed).collect());
@@ -90,13 +90,13 @@
 
 /// Changes which availability zones are evacuated. Subscribers get a frame even if nothing
 /// changed: without news of how far this node has read, they consider themselves behind it.
-fn change_evacuations(node: &Node, change: impl FnOnce(&mut place::Evacuations)) {
-    let changed = node.state.borrow_mut().change_evacuations(change);
+fn update_evacuations(node: &Node, change: impl FnOnce(&mut place::Evacuations)) {
+    let changed = node.state.borrow_mut().update_evacuations(change);
     node.subscribers.broadcast(&relay::Frame::evacuated(&node.state.borrow()));
     for (zone, is_evacuated) in changed {
         trace::Line::new(if is_evacuated { "zone_evacuated" } else { "zone_restored" })
             .field("zone", zone.as_str())
-            .field("up_to", node.state.borrow().config_seen.up_to)
+            .field("up_to", node.state.borrow().config_progress.up_to)
             .log();
     }
 }
@@ -180,7 +180,7 @@
     if listed.len() > MAX_LISTED_LINES {
         trace::Line::new("upstreams_listed")
             .field("count", listed.len())
-            .field("up_to", node.state.borrow().list_seen.up_to)
+            .field("up_to", node.state.borrow().list_progress.up_to)
             .log();
         return;
     }
@@ -199,7 +199,7 @@
 pub fn expire(node: &Node, now: Instant) {
     let is_due = node.state.borrow().evacuations.is_due(now);
     if is_due {
-        change_evacuations(node, |evacuations| evacuations.expire(now));
+        update_evacuations(node, |evacuations| evacuations.expire(now));
     }
     let changes = node.state.borrow_mut().roster.expire(now);
     if !changes.is_empty() {
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -38,8 +38,8 @@
 use crate::metrics::Metrics;
 use crate::probe;
 use crate::relay;
-use crate::reply::Own;
-use crate::state::Shared;
+use crate::reply::LocalReply;
+use crate::state::SharedState;
 
 /// A connection that was idle for less than this is assumed to be open at its upstream. Some upstreams
 /// drop idle connections after 0.3 s; a request between zones takes 2 ms to arrive.
@@ -71,7 +71,7 @@
 /// The request path of an entry node.
 pub struct Node {
     /// State that all tasks of the node share.
-    pub state: Shared,
+    pub state: SharedState,
     /// Connections to upstreams.
     pub conns: Conns,
     /// Peers that read the platform through this node.
@@ -128,12 +128,12 @@
     /// Response of an upstream, to be passed on.
     Upstream(Response),
     /// Response of the node itself.
-    Own(Own),
+    Own(LocalReply),
 }
 
 impl Node {
     /// Creates the request path over `state`, which records its measurements in `metrics`.
-    pub fn new(state: Shared, metrics: Metrics) -> Node {
+    pub fn new(state: SharedState, metrics: Metrics) -> Node {
         Node {
             metrics,
             state,
@@ -210,7 +210,7 @@
     /// Records the load that a response of an upstream reports.
     pub fn record_load(&self, service: &ServiceName, upstream: &Incarnation, headers: &HeaderMap) {
         let mut state = self.state.borrow_mut();
-        let parse_load = state.settings.read_load;
+        let parse_load = state.settings.parse_load;
         let value = headers.get(&state.settings.headers.load);
         let load = value.and_then(|value| value.to_str().ok()).and_then(parse_load);
         if let Some(pool) = state.pools.get_mut(service) {
@@ -262,7 +262,7 @@
         };
         let Some(table) = table else {
             trace::Line::new("no_config").field("request", request_id_of(head, &names)).log();
-            return Reply::Own(Own::not_run(RETRY_AFTER_NOT_READY, "no configuration yet"));
+            return Reply::Own(LocalReply::not_run(RETRY_AFTER_NOT_READY, "no configuration yet"));
         };
         let Some(route) = table.find(&head.host, head.path()) else {
             trace::Line::new("no_route")
@@ -271,26 +271,29 @@
                 .field("path", head.path())
                 .field("config", table.version)
                 .log();
-            return Reply::Own(Own::failed(StatusCode::NOT_FOUND, "no such route"));
+            return Reply::Own(LocalReply::failed(StatusCode::NOT_FOUND, "no such route"));
         };
         let mut ids = head.headers.get_all(&names.request_id).iter();
         let (Some(request_id), None) = (ids.next().cloned(), ids.next()) else {
             let text = "exactly one request id is required";
-            return Reply::Own(Own::failed(StatusCode::BAD_REQUEST, text));
+            return Reply::Own(LocalReply::failed(StatusCode::BAD_REQUEST, text));
         };
         let allowed = stated_deadline
             .map_or(route.timeout, |stated_deadline| stated_deadline.min(route.timeout));
         let deadline = received_at + allowed;
         let stopping = self.state.borrow().stopping;
-        if stopping.is_some_and(|stopping| stopping.is_too_late(deadline, received_at)) {
+        if stopping.is_some_and(|stopping| stopping.must_reject(deadline, received_at)) {
             trace::Line::new("refused")
                 .field("request", request_id_of(head, &names))
                 .field("reason", "stopping")
                 .log();
-            return Reply::Own(Own::not_run(RETRY_AFTER_OTHER_NODE, "this node is stopping"));
+            return Reply::Own(LocalReply::not_run(
+                RETRY_AFTER_OTHER_NODE,
+                "this node is stopping",
+            ));
         }
         let retrying_for = stated_deadline.map_or(Duration::ZERO, |stated_deadline| {
-            self.state.borrow_mut().attempts.retrying_for(&route.name, stated_deadline)
+            self.state.borrow_mut().retry_detector.retrying_for(&route.name, stated_deadline)
         });
         let body_start = body.received().clone();
         let service = self.next_service(route);
@@ -319,10 +322,13 @@
             Err(_) => {
                 call.log_line("timed_out").log();
                 match call.sends.borrow().is_empty() {
-                    true => Reply::Own(Own::not_run(RETRY_AFTER_OTHER_NODE, "not sent in time")),
-                    false => {
-                        Reply::Own(Own::failed(StatusCode::GATEWAY_TIMEOUT, "no answer in time"))
+                    true => {
+                        Reply::Own(LocalReply::not_run(RETRY_AFTER_OTHER_NODE, "not sent in time"))
                     }
+                    false => Reply::Own(LocalReply::failed(
+                        StatusCode::GATEWAY_TIMEOUT,
+                        "no answer in time",
+                    )),
                 }
             }
         };
@@ -357,7 +363,7 @@
         let index = match route.targets.len() {
             1 => 0,
             _ => {
-                let round_robin = state.turns.entry(route.name.clone()).or_default();
+                let round_robin = state.round_robins.entry(route.name.clone()).or_default();
                 round_robin.next(&route.targets, &mut state.rng)
             }
         };
@@ -375,14 +381,14 @@
         }
         let outcome = match reply {
             Reply::Upstream(_) => "answered",
-            Reply::Own(own) if own.come_back.is_some() => "refused",
+            Reply::Own(own) if own.retry_after.is_some() => "refused",
             Reply::Own(_) => "failed",
         };
-        self.metrics.request(call.received_at.elapsed(), outcome);
+        self.metrics.record_request(call.received_at.elapsed(), outcome);
         let counters = &mut self.state.borrow_mut().counters;
         match reply {
             Reply::Upstream(_) => counters.answered += 1,
-            Reply::Own(own) if own.come_back.is_some() => counters.refused += 1,
+            Reply::Own(own) if own.retry_after.is_some() => counters.refused += 1,
             Reply::Own(_) => counters.failed += 1,
         }
     }
--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -160,7 +160,7 @@
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
         let pool = state.pools.get(&call.service);
-        let allowed_zones = state.settings.home_zones(&call.route.allowed_regions);
+        let allowed_zones = state.settings.allowed_zones(&call.route.allowed_regions);
         let may_serve = |u: &&place::Upstream| {
             let is_allowed =
                 allowed_zones.as_ref().is_none_or(|allowed_zones| allowed_zones.contains(&u.zone));
@@ -169,7 +169,7 @@
         let upstreams = pool.into_iter().flat_map(|pool| pool.upstreams()).filter(may_serve);
         let starts = upstreams.map(|u| start_of(&u.incarnation));
         let retry_after =
-            state.notices.retry_after(starts, now).map_or(RETRY_AFTER_NOT_READY, |left| {
+            state.backpressure.retry_after(starts, now).map_or(RETRY_AFTER_NOT_READY, |left| {
                 let jitter = 1.0 + RETRY_AFTER_JITTER_RATIO * state.rng.random::<f64>();
                 left.mul_f64(jitter).clamp(MIN_RETRY_AFTER, notice::MAX_RETRY_AFTER)
             });
@@ -181,14 +181,14 @@
         let now = Instant::now();
         state.update_limit_shares(now);
         let Some(pool) = state.pools.get(&call.service) else { return Vec::new() };
-        let allowed_zones = state.settings.home_zones(&call.route.allowed_regions);
+        let allowed_zones = state.settings.allowed_zones(&call.route.allowed_regions);
         let criteria = place::SelectionCriteria {
             policy: state.settings.policy,
-            work: state.works.work(&call.route.name, call.route.objective),
+            work: state.work_estimates.work(&call.route.name, call.route.objective),
             objective_left: call.objective_left(),
             zone: &state.settings.zone,
             cross_zone_cost: state.settings.cross_zone_cost_per_kib
-                * state.works.size_kib(&call.route.name),
+                * state.work_estimates.size_kib(&call.route.name),
             allowed_zones: allowed_zones.as_ref(),
             warm_up: state.warm_up(&call.service, now),
             tried,
@@ -202,7 +202,7 @@
         let requests_per_connection = state.first_sends_per_s(&call.service, now)
             * CONNECTION_IDLE_TIMEOUT.as_secs_f64()
             / pool.compared_count() as f64;
-        let notices = &state.notices;
+        let notices = &state.backpressure;
         let may_send = |upstream: &Incarnation| {
             notices.is_empty() || notices.may_send(start_of(upstream), now)
         };
--- a/crates/edge/src/forward/crash_detection.rs
+++ b/crates/edge/src/forward/crash_detection.rs
@@ -1,22 +1,17 @@
 //! Detects upstreams that crashed, and the requests that were in flight there.
-
-use std::io;
-use std::rc::Rc;
-use std::time::{Duration, Instant};
-
-use local_sync::oneshot;
-use place::Incarnation;
-use quarantine::{FindingVersion, LostRequest};
-
 use super::call::{Call, Choice};
 use super::Node;
 use crate::{as_ms, start_of};
-
+use local_sync::oneshot;
+use place::Incarnation;
+use quarantine::{FindingVersion, LostRequest};
+use std::io;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
 /// Longest time that a request waits to learn whether the upstream that lost its response has crashed.
 /// An address without a listener refuses a connection within a round trip; an unreachable one does not
 /// respond at all.
 const MAX_CRASH_DETECTION_WAIT: Duration = Duration::from_millis(50);
-
 impl Node {
     /// Records that the response to a request was lost with its connection, and finds out whether the
     /// upstream has crashed. Only then is a new connection to its address refused; an upstream that
@@ -30,8 +25,11 @@
     ) {
         let lost = LostRequest { content: call.content(), known, ran_ms: as_ms(elapsed) };
         let start = start_of(&choice.upstream);
-        let ended =
-            self.state.borrow_mut().ends.record_lost_response(start, lost.clone(), Instant::now());
+        let ended = self.state.borrow_mut().crash_detector.record_lost_response(
+            start,
+            lost.clone(),
+            Instant::now(),
+        );
         if ended {
             return self.handle_upstream_ended(&choice.upstream, &[lost]);
         }
@@ -45,7 +43,6 @@
         });
         let _ = monoio::time::timeout(MAX_CRASH_DETECTION_WAIT, checking).await;
     }
-
     async fn try_reconnect(&self, upstream: &Incarnation, addr: std::net::SocketAddr) {
         self.state.borrow_mut().counters.connects += 1;
         match self.conns.open(upstream, addr, super::CONNECT_TIMEOUT).await {
@@ -54,7 +51,6 @@
             Err(err) => self.record_connect_failure(upstream, &err),
         }
     }
-
     /// Records that no connection to an upstream could be established. If its address refuses it, the
     /// upstream has ended, and requests lost there shortly before were in flight when it did.
     pub fn record_connect_failure(&self, upstream: &Incarnation, err: &io::Error) {
@@ -62,21 +58,19 @@
             self.record_upstream_ended(upstream);
         }
     }
-
     /// Records that an upstream has ended: its address refuses connections or belongs to another
     /// upstream now, or it was restarted.
     pub(crate) fn record_upstream_ended(&self, upstream: &Incarnation) {
         let lost = self
             .state
             .borrow_mut()
-            .ends
+            .crash_detector
             .record_refused_connection(start_of(upstream), Instant::now());
         if !lost.is_empty() {
             self.state.borrow_mut().counters.upstreams_ended += 1;
             self.handle_upstream_ended(upstream, &lost);
         }
     }
-
     /// Handles an upstream that ended while `lost` were in flight there. Unless that was planned, they
     /// may have crashed it.
     fn handle_upstream_ended(&self, upstream: &Incarnation, lost: &[LostRequest]) {
@@ -88,7 +82,7 @@
         let was_unplanned = {
             let state = self.state.borrow();
             let is_listed = |pool: &place::Pool| pool.position(upstream).is_some();
-            let announced = state.notices.is_leaving(start_of(upstream), Instant::now());
+            let announced = state.backpressure.is_leaving(start_of(upstream), Instant::now());
             !announced && state.pools.values().any(is_listed)
         };
         if was_unplanned {
--- a/crates/edge/src/forward/notices.rs
+++ b/crates/edge/src/forward/notices.rs
@@ -29,7 +29,7 @@
             let state = &mut *self.state.borrow_mut();
             let signals = Signals::from_response(status, headers, &state.settings.headers.notices);
             signals.invalid_fields().for_each(|what| log_invalid_signal(upstream, what));
-            state.notices.apply_signals(start_of(upstream), &signals, requested_at, moment())
+            state.backpressure.apply_signals(start_of(upstream), &signals, requested_at, moment())
         };
         changes.iter().for_each(|change| log_change(upstream.id(), *change, "this node"));
         if changes.contains(&Change::Leaving) {
@@ -43,7 +43,7 @@
     /// Applies what a peer reports of an upstream.
     pub(crate) fn apply_peer_notice(&self, notice: &Notice) {
         let state = &mut *self.state.borrow_mut();
-        let Some(change) = state.notices.apply_notice(notice, moment()) else { return };
+        let Some(change) = state.backpressure.apply_notice(notice, moment()) else { return };
         let upstreams = state.pools.values().flat_map(|pool| pool.upstreams());
         let mut incarnations = upstreams.map(|upstream| &upstream.incarnation);
         let upstream = incarnations.find(|upstream| start_of(upstream) == notice.start);
@@ -58,7 +58,7 @@
     /// Recomputes this node's shares of the limits of upstreams if that is due. A node that has just
     /// started knows few of its peers, and sends nothing to limited upstreams until it does.
     pub(crate) fn update_limit_shares(&mut self, now: Instant) {
-        if !self.notices.shares_outdated() || !readers::knows_peers(self, now) {
+        if !self.backpressure.shares_outdated() || !readers::knows_peers(self, now) {
             return;
         }
         let upstreams = self.pools.values().flat_map(|pool| pool.upstreams());
@@ -70,7 +70,7 @@
             others: peers.map(|(addr, peer)| (*addr, peer.zone.as_str())).collect(),
             zones,
         };
-        self.notices.update_shares(&fleet, now);
+        self.backpressure.update_shares(&fleet, now);
     }
 }
 
--- a/crates/edge/src/forward/retries.rs
+++ b/crates/edge/src/forward/retries.rs
@@ -1,37 +1,29 @@
 //! The sends of one request: retries one after the other, and hedges beside an overdue send.
-
-use std::pin::pin;
-use std::rc::Rc;
-use std::time::{Duration, Instant};
-
-use bytes::Bytes;
-use http::{HeaderValue, StatusCode};
-use quarantine::Decision;
-use web::h1;
-
 use super::call::{Call, Choice, NoChoice, Tried};
 use super::choose::WaitPolicy;
 use super::{Body, Node, Reply};
 use crate::as_ms;
 use crate::exchange::{Outcome, Response, SendResult};
-use crate::reply::Own;
-
+use crate::reply::LocalReply;
+use bytes::Bytes;
+use http::{HeaderValue, StatusCode};
+use quarantine::Decision;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use web::h1;
 /// A request is hedged once it has taken this many times its predicted latency: with a smaller ratio
 /// the ordinary variance of the work would use up the budget.
 const MIN_HEDGE_LATENCY_RATIO: f64 = 1.4;
-
 /// A request whose latency objective no hedge can meet is hedged only after this many times its
 /// predicted latency, or when a hedge can only just end before the deadline: its upstream has likely
 /// gone silent.
 const MIN_LATE_HEDGE_LATENCY_RATIO: f64 = 4.0;
-
 /// Upstreams tried for one request at most, unreachable ones included.
 const MAX_UPSTREAMS_TRIED: usize = 4;
-
 /// `Retry-After` when upstreams refused a request and the node may not send it again. Their refusal
 /// says nothing about other upstreams, and each further attempt earns the fleet retry budget.
 const RETRY_AFTER_UPSTREAM_REFUSAL: Duration = Duration::from_millis(10);
-
 /// What the caller is told if no further send is allowed: nothing final came from the sends so far.
 enum Fallback {
     /// No upstream can have run it.
@@ -41,7 +33,6 @@
     /// An upstream responded with a server error, which is passed on unless a better response comes.
     Error(Response),
 }
-
 impl Fallback {
     /// Returns the state after a send that may have run and got no response.
     fn after_lost_send(self) -> Fallback {
@@ -51,12 +42,10 @@
         }
     }
 }
-
 /// Returns true for a response that is passed on even if the request could be sent again.
 fn is_final(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Answered(response) if !response.head.status.is_server_error())
 }
-
 /// Combines the outcomes of two sends of a request, of which the earlier has no final response.
 ///
 /// The refusal of one send says nothing about the other, which may have run.
@@ -68,7 +57,6 @@
         false => later,
     }
 }
-
 impl Node {
     /// Sends the request to upstreams until one responds or no further send is allowed.
     pub(super) async fn send_with_retries(
@@ -90,8 +78,8 @@
                 Err(why) => return self.refuse(call, why, fallback),
             };
             if tried.upstreams.is_empty() {
-                self.state.borrow_mut().first_send(&call.service);
-            } else if tried.reached > 0 && !self.state.borrow_mut().second_send(&call.service) {
+                self.state.borrow_mut().record_first_send(&call.service);
+            } else if tried.reached > 0 && !self.state.borrow_mut().try_second_send(&call.service) {
                 call.log_line("second_send_over_budget").log();
                 return give_up(fallback, RETRY_AFTER_UPSTREAM_REFUSAL);
             }
@@ -120,7 +108,6 @@
             }
         }
     }
-
     fn refuse(&self, call: &Call<'_>, why: NoChoice, fallback: Fallback) -> Reply {
         let line = call.log_line("refused");
         let (line, retry_after) = match why {
@@ -135,9 +122,9 @@
                 let line = line
                     .field("reason", "no upstream")
                     .field("evacuated", zones)
-                    .field("limited", state.notices.limited_count(now))
-                    .field("leaving", state.notices.leaving_count(now))
-                    .field("resting", state.notices.backoff_count(now));
+                    .field("limited", state.backpressure.limited_count(now))
+                    .field("leaving", state.backpressure.leaving_count(now))
+                    .field("resting", state.backpressure.backoff_count(now));
                 (line, retry_after)
             }
             NoChoice::TooLate { retry_after, best, predicted_latency, queue_time, report_age } => {
@@ -153,7 +140,6 @@
         line.field("come_back_ms", as_ms(retry_after)).log();
         give_up(fallback, retry_after)
     }
-
     /// Sends the request once, and hedges when the response is overdue and the request may be repeated.
     async fn send_hedged(
         self: &Rc<Node>,
@@ -174,8 +160,8 @@
         ] {
             let timer = due.saturating_duration_since(Instant::now());
             monoio::select! {
-                outcome = &mut first => return tried.record_outcome(outcome),
-                () = monoio::time::sleep(timer) => {}
+            outcome = &mut first => return tried.record_outcome(outcome),
+            () = monoio::time::sleep(timer) => {}
             }
             self.record_overdue(call, &choice, factor);
             // A concurrent copy of a suspected request could crash a second upstream.
@@ -189,11 +175,11 @@
             }
             // A response that comes while another upstream is being chosen is returned at once.
             let other = monoio::select! {
-                outcome = &mut first => return tried.record_outcome(outcome),
-                other = self.choose(call, &tried.upstreams, WaitPolicy::Forbidden) => other,
+            outcome = &mut first => return tried.record_outcome(outcome),
+            other = self.choose(call, &tried.upstreams, WaitPolicy::Forbidden) => other,
             };
             let Ok(other) = other else { continue };
-            if !self.state.borrow_mut().hedge(&call.service) {
+            if !self.state.borrow_mut().try_hedge(&call.service) {
                 continue;
             }
             call.log_line("hedged")
@@ -204,19 +190,18 @@
             tried.reached += 1;
             let mut second = pin!(self.send(call, &other, body));
             return monoio::select! {
-                outcome = &mut first => match is_final(&outcome) {
-                    true => outcome,
-                    false => combine(outcome, second.await),
-                },
-                outcome = &mut second => match is_final(&outcome) {
-                    true => outcome,
-                    false => combine(outcome, first.await),
-                },
+            outcome = &mut first => match is_final(&outcome) {
+            true => outcome,
+            false => combine(outcome, second.await),
+            },
+            outcome = &mut second => match is_final(&outcome) {
+            true => outcome,
+            false => combine(outcome, first.await),
+            },
             };
         }
         tried.record_outcome(first.await)
     }
-
     /// Records that an upstream has not responded for `factor` times the predicted latency.
     fn record_overdue(&self, call: &Call<'_>, choice: &Choice, factor: f64) {
         if !choice.latency_measures_work {
@@ -226,7 +211,6 @@
             pool.record_latency_ratio(&choice.upstream, factor, Instant::now());
         }
     }
-
     /// Sends a request whose body was received in full to the chosen upstream.
     async fn send(self: &Rc<Node>, call: &Call<'_>, choice: &Choice, body: &Bytes) -> Outcome {
         let length = call.head.framing != h1::Framing::Empty;
@@ -235,7 +219,6 @@
         let framing = length.map(|length| (http::header::CONTENT_LENGTH, length));
         self.send_with(call, choice, framing, body, write_rest).await
     }
-
     /// Sends a request whose body is still being received. It is never sent a second time.
     async fn send_streaming(
         self: &Rc<Node>,
@@ -248,7 +231,7 @@
             Ok(choice) => choice,
             Err(why) => return self.refuse(call, why, Fallback::NotRun),
         };
-        self.state.borrow_mut().first_send(&call.service);
+        self.state.borrow_mut().record_first_send(&call.service);
         let chunked = !matches!(call.head.framing, h1::Framing::Length(_));
         let (framing, first) = match call.head.framing {
             h1::Framing::Length(length) => {
@@ -279,18 +262,19 @@
             Outcome::NotRun(..) | Outcome::NotSent => {
                 give_up(Fallback::NotRun, RETRY_AFTER_UPSTREAM_REFUSAL)
             }
-            Outcome::Lost(why) => Reply::Own(Own::failed(StatusCode::BAD_GATEWAY, why)),
+            Outcome::Lost(why) => Reply::Own(LocalReply::failed(StatusCode::BAD_GATEWAY, why)),
         }
     }
 }
-
 /// Returns the response to a request that gets no further send.
 fn give_up(fallback: Fallback, retry_after: Duration) -> Reply {
     match fallback {
-        Fallback::NotRun => Reply::Own(Own::not_run(retry_after, "not run; come back later")),
+        Fallback::NotRun => {
+            Reply::Own(LocalReply::not_run(retry_after, "not run; come back later"))
+        }
         Fallback::MayHaveRun => {
             let text = "no answer; the request may have run";
-            Reply::Own(Own::failed(StatusCode::BAD_GATEWAY, text))
+            Reply::Own(LocalReply::failed(StatusCode::BAD_GATEWAY, text))
         }
         Fallback::Error(response) => Reply::Upstream(response),
     }
--- a/crates/edge/src/forward/send.rs
+++ b/crates/edge/src/forward/send.rs
@@ -41,7 +41,10 @@
             report_age_ms: choice.report_age.map(as_ms),
         });
         let outstanding = Outstanding::start(&self.state, &call.service, &choice.upstream);
-        self.state.borrow_mut().notices.record_send(start_of(&choice.upstream), Instant::now());
+        self.state
+            .borrow_mut()
+            .backpressure
+            .record_send(start_of(&choice.upstream), Instant::now());
         let (version, _guard) = self.begin_attempt(call, &choice.upstream);
         let started_at = Instant::now();
         let timeout = CONNECT_TIMEOUT.min(call.deadline_left());
@@ -60,7 +63,7 @@
                     .field("upstream", choice.upstream.id())
                     .field("error", err.to_string())
                     .log();
-                outstanding.end(RequestOutcome::Failed);
+                outstanding.finish(RequestOutcome::Failed);
                 return Outcome::NotSent;
             }
         };
@@ -89,7 +92,7 @@
             None => {}
         }
         self.record_outcome(call, choice, &outcome, started_at.elapsed());
-        outstanding.end(match &outcome {
+        outstanding.finish(match &outcome {
             Outcome::Answered(response) if response.head.status.is_server_error() => {
                 RequestOutcome::Failed
             }
@@ -163,7 +166,9 @@
     ) {
         let now = Instant::now();
         let state = &mut *self.state.borrow_mut();
-        state.works.record_size(&call.route.name, call.body_start.len() + response.known_bytes());
+        state
+            .work_estimates
+            .record_size(&call.route.name, call.body_start.len() + response.known_bytes());
         if !choice.latency_measures_work {
             return;
         }
@@ -175,7 +180,7 @@
         if still_at_usual_speed {
             let ratio = elapsed.as_secs_f64() / choice.predicted_latency.as_secs_f64().max(0.001);
             pool.record_latency_ratio(&choice.upstream, ratio, now);
-            state.works.record_work(&call.route.name, call.route.objective, elapsed);
+            state.work_estimates.record_work(&call.route.name, call.route.objective, elapsed);
         }
     }
 }
--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -173,7 +173,7 @@
 /// them: all other nodes may have been restarted at the same moment.
 fn must_read_at_start(state: &State) -> bool {
     let is_settled = state.started_at.elapsed() >= PEER_DISCOVERY_TIME;
-    !state.settings.first_start && is_settled && is_writer(state)
+    !state.settings.bootstrap && is_settled && is_writer(state)
 }
 
 /// Stores findings forever.
@@ -187,7 +187,7 @@
         monoio::time::sleep(CHECK_INTERVAL).await;
         let (is_writer, has_quarantined, must_read) = {
             let state = node.state.borrow();
-            is_outdated |= std::mem::replace(&mut rollbacks, state.times_gone_back) < rollbacks;
+            is_outdated |= std::mem::replace(&mut rollbacks, state.store_rollbacks) < rollbacks;
             let has_quarantined = state.quarantine.quarantined().next().is_some();
             let has_findings =
                 has_quarantined || state.quarantine.all().any(|finding| finding.epoch > 0);
--- a/crates/edge/src/probe.rs
+++ b/crates/edge/src/probe.rs
@@ -173,6 +173,7 @@
 pub fn budget_limits(node: &Node, service: &str) -> (f64, f64) {
     let state = node.state.borrow();
     let upstreams = state.pools.get(service).map_or(0, place::Pool::in_service_count) as f64;
-    let refill_per_s = state.settings.probes_per_upstream_s * upstreams / state.fleet_size() as f64;
+    let refill_per_s =
+        state.settings.max_probes_per_upstream_per_s * upstreams / state.fleet_size() as f64;
     (refill_per_s, upstreams * MAX_SAVED_PROBES_PER_UPSTREAM)
 }
--- a/crates/edge/src/readers.rs
+++ b/crates/edge/src/readers.rs
@@ -103,16 +103,16 @@
 
 /// Returns how long a node without a reader may look for one before it reads the platform itself.
 pub fn switch_timeout(state: &State) -> Duration {
-    match state.is_in_step() {
+    match state.has_read_all_topics() {
         true => READER_SWITCH_TIMEOUT,
-        false if state.settings.first_start => FIRST_START_SWITCH_TIMEOUT,
+        false if state.settings.bootstrap => FIRST_START_SWITCH_TIMEOUT,
         false => RESTART_SWITCH_TIMEOUT,
     }
 }
 
 /// Returns true once this node knows enough of its peers to tell whether it is a reader.
 pub fn knows_peers(state: &State, now: Instant) -> bool {
-    let after = match state.settings.first_start {
+    let after = match state.settings.bootstrap {
         true => FIRST_START_PEER_DISCOVERY_TIME,
         false => PEER_DISCOVERY_TIME,
     };
@@ -136,7 +136,7 @@
 /// readers yet. A restarted node that has read the platform itself does not: another list of 30 KB
 /// from another zone would tell it nothing.
 fn reads_through_seeds(state: &State, now: Instant) -> bool {
-    let needs_seeds = state.settings.first_start || !state.is_in_step();
+    let needs_seeds = state.settings.bootstrap || !state.has_read_all_topics();
     needs_seeds && begins_with_seeds(&state.settings) && !knows_peers(state, now)
 }
 
@@ -167,7 +167,7 @@
 /// When the platform is down and each of a hundred nodes tries it every half second, each call is
 /// paid for and none helps: the readers are the first to notice that it is back.
 pub fn max_retry_backoff(state: &State, default_max: Duration) -> Duration {
-    match state.is_in_step() && !is_reader(state, state.settings.peer_addr) {
+    match state.has_read_all_topics() && !is_reader(state, state.settings.peer_addr) {
         true => {
             let spread = state.fleet_size() as f64 / MAX_FAILING_CALLS_PER_S;
             Duration::from_secs_f64(spread).clamp(default_max, MAX_RETRY_BACKOFF.max(default_max))
@@ -179,7 +179,7 @@
 /// Returns true if a node without a reader may wait for one: nothing that callers wait for is late
 /// yet.
 fn may_search(state: &State) -> bool {
-    !state.direct && (state.is_in_step() || state.settings.first_start)
+    !state.reads_directly && (state.has_read_all_topics() || state.settings.bootstrap)
 }
 
 /// Chooses how this node reads the platform now; peers in `excluded` failed and are not used until
@@ -195,7 +195,7 @@
     let me = state.settings.peer_addr;
     let usable =
         |addr: &SocketAddr| *addr != me && excluded.get(addr).is_none_or(|until| *until <= now);
-    let candidates: Vec<SocketAddr> = match state.is_in_step() {
+    let candidates: Vec<SocketAddr> = match state.has_read_all_topics() {
         // The platform does not respond to a node without state: any peer that serves is of use.
         false if state.roster.store_unreachable_for(now) >= NEW_NODE_FALLBACK_TIMEOUT => {
             let serving = state.peers.iter().filter(|(_, peer)| peer.config_head > 0);
--- a/crates/edge/src/record.rs
+++ b/crates/edge/src/record.rs
@@ -103,7 +103,7 @@
     let me = state.settings.peer_addr;
     let serves = |peer: &Peer| match due_for < PRESUMED_SERVING_TIMEOUT {
         true => peer.may_serve(),
-        false => peer.may_serve() && peer.heard,
+        false => peer.may_serve() && peer.heads_received,
     };
     state.is_ready() && !state.peers.iter().any(|(addr, peer)| *addr < me && serves(peer))
 }
@@ -115,7 +115,7 @@
         monoio::time::sleep(CHECK_INTERVAL).await;
         {
             let state = &mut *node.state.borrow_mut();
-            if std::mem::replace(&mut rollbacks, state.times_gone_back) < rollbacks {
+            if std::mem::replace(&mut rollbacks, state.store_rollbacks) < rollbacks {
                 state.unrecorded.requeue_recent(Instant::now());
             }
         }
--- a/crates/edge/src/relay/serve.rs
+++ b/crates/edge/src/relay/serve.rs
@@ -35,7 +35,7 @@
     let mut failures = 0;
     loop {
         monoio::time::sleep(PATH_CHECK_INTERVAL).await;
-        let is_needed = node.state.borrow().direct && !node.subscribers.is_empty();
+        let is_needed = node.state.borrow().reads_directly && !node.subscribers.is_empty();
         if !is_needed && failures == 0 {
             continue;
         }
@@ -44,9 +44,9 @@
             false => failures + 1,
         };
         let is_reachable = failures < PATH_FAILURE_THRESHOLD;
-        if node.state.borrow().reaches_platform != is_reachable {
+        if node.state.borrow().platform_reachable != is_reachable {
             trace::Line::new(if is_reachable { "path_regained" } else { "path_lost" }).log();
-            node.state.borrow_mut().reaches_platform = is_reachable;
+            node.state.borrow_mut().platform_reachable = is_reachable;
         }
         if !is_reachable {
             node.subscribers.drop_all(true);
@@ -74,13 +74,13 @@
 /// A node that was partitioned and is back keeps upstreams for a while that left meanwhile. If it
 /// relayed them, they would reappear on nodes that had rightly dropped them.
 fn may_relay(state: &State, greeting: &Greeting) -> bool {
-    let is_current = state.is_sure_of_all(Instant::now())
-        && state.reaches_platform
+    let is_current = state.is_all_fresh(Instant::now())
+        && state.platform_reachable
         && !state.roster.store_is_unreachable()
         && !state.roster.keeps_unlisted();
-    let is_recent_enough = state.config_seen.up_to >= greeting.config_newest
-        && state.list_seen.up_to >= greeting.list_newest;
-    state.is_in_step() && is_recent_enough && (is_current || greeting.accepts_stale)
+    let is_recent_enough = state.config_progress.up_to >= greeting.config_newest
+        && state.list_progress.up_to >= greeting.list_newest;
+    state.has_read_all_topics() && is_recent_enough && (is_current || greeting.accepts_stale)
 }
 
 /// Returns true if this node may soon be able to relay its state: it is about to read what the
@@ -92,7 +92,7 @@
         true => greeting.was_referred,
         false => {
             greeting.accepts_stale
-                || (state.reaches_platform && !state.roster.store_is_unreachable())
+                || (state.platform_reachable && !state.roster.store_is_unreachable())
         }
     }
 }
--- a/crates/edge/src/relay/subscribe.rs
+++ b/crates/edge/src/relay/subscribe.rs
@@ -59,14 +59,14 @@
             Some(peer) => ReadPath::Via(peer),
             None => {
                 let state = &mut *node.state.borrow_mut();
-                state.direct |= state.is_in_step() && !state.is_sure_of_all(now);
+                state.reads_directly |= state.has_read_all_topics() && !state.is_all_fresh(now);
                 let searching = now < last_frame_at + readers::switch_timeout(state);
                 readers::choose(state, &excluded, searching, now)
             }
         };
         match path {
             ReadPath::Direct => {
-                node.state.borrow_mut().direct = true;
+                node.state.borrow_mut().reads_directly = true;
                 monoio::time::sleep(READER_CHECK_INTERVAL).await;
             }
             ReadPath::Deferred => monoio::time::sleep(SYNC_CHECK_INTERVAL).await,
@@ -80,7 +80,7 @@
                     .field("took_ms", as_ms(started_at.elapsed()))
                     .log();
                 let mut state = node.state.borrow_mut();
-                state.reads_through = None;
+                state.relay_peer = None;
                 let search_is_over = last_frame_at.elapsed() > readers::switch_timeout(&state);
                 if end_reason == EndReason::ReaderChanged {
                     // The platform's reachability is determined anew.
@@ -91,11 +91,11 @@
                     next_referral = Some(peer);
                     continue;
                 }
-                let is_first_start = state.settings.first_start && !state.is_in_step();
+                let is_first_start = state.settings.bootstrap && !state.has_read_all_topics();
                 let is_soon_back = end_reason == EndReason::Closed || is_first_start;
                 let backoff = if is_soon_back { SHORT_PEER_BACKOFF } else { PEER_BACKOFF };
                 excluded.insert(peer, Instant::now() + backoff);
-                state.direct |= search_is_over
+                state.reads_directly |= search_is_over
                     || matches!(end_reason, EndReason::Behind | EndReason::LeaseExpired);
             }
         }
@@ -154,7 +154,7 @@
 ) -> EndReason {
     let is_restarted = {
         let state = node.state.borrow();
-        !state.settings.first_start && !state.is_in_step()
+        !state.settings.bootstrap && !state.has_read_all_topics()
     };
     let (connect_timeout, mut frame_timeout) = match is_restarted {
         true => (RESTART_CONNECT_TIMEOUT, RESTART_FIRST_FRAME_TIMEOUT),
@@ -219,8 +219,8 @@
                 let state = &mut *node.state.borrow_mut();
                 renew_lease(state, Topic::Config, queried_at, config_age);
                 renew_lease(state, Topic::Upstreams, queried_at, list_age);
-                (state.direct, state.reads_through) = (false, Some(peer));
-                state.list_is_own = false;
+                (state.reads_directly, state.relay_peer) = (false, Some(peer));
+                state.list_from_platform = false;
                 frame_timeout = FRAME_TIMEOUT;
                 has_data.set(true);
             }
@@ -237,7 +237,7 @@
 /// Renews the lease on a topic, given how old the peer's data was at the time of the query.
 fn renew_lease(state: &mut State, topic: Topic, queried_at: Instant, age: Option<Duration>) {
     let as_of = age.and_then(|age| queried_at.checked_sub(age));
-    as_of.into_iter().for_each(|as_of| state.seen_mut(topic).lease.renew(as_of));
+    as_of.into_iter().for_each(|as_of| state.progress_mut(topic).lease.renew(as_of));
 }
 
 /// Sends freshness queries to the peer periodically; returns when the connection fails.
@@ -267,11 +267,11 @@
     loop {
         monoio::time::sleep(LEASE_CHECK_INTERVAL).await;
         let state = &mut *node.state.borrow_mut();
-        match state.is_sure_of_all(Instant::now()) {
+        match state.is_all_fresh(Instant::now()) {
             true => {}
             false if has_data.get() => return,
             // A starting node looks for a peer first.
-            false => state.direct |= state.is_in_step(),
+            false => state.reads_directly |= state.has_read_all_topics(),
         }
     }
 }
--- a/crates/edge/src/relay/subscribe/tests.rs
+++ b/crates/edge/src/relay/subscribe/tests.rs
@@ -32,6 +32,6 @@
         let node = Rc::new(Node::new(Rc::new(RefCell::new(state_at(addr(9), &[]))), metrics()));
         let end_reason = subscribe(&node, peer, false, &mut Instant::now()).await;
         assert_eq!(end_reason, EndReason::InvalidFrame);
-        assert!(!node.state.borrow().is_sure(Topic::Config, Instant::now()));
+        assert!(!node.state.borrow().is_fresh(Topic::Config, Instant::now()));
     });
 }
--- a/crates/edge/src/tests/callers.rs
+++ b/crates/edge/src/tests/callers.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use super::fake::{ms, start, Caller, Entered, Upstream};
+use super::fake::{ms, start, Caller, EntryNode, Upstream};
 use super::fleet::{addr, serving};
 
 /// Number of entry nodes in front of the same upstreams.
 const NODES: u8 = 8;
 
 /// Starts nodes that know each other and appear to have been up for a minute.
-pub fn nodes(upstreams: &[&Upstream]) -> Vec<Entered> {
+pub fn nodes(upstreams: &[&Upstream]) -> Vec<EntryNode> {
     let all: Vec<SocketAddr> = (1..=NODES).map(addr).collect();
     let entered = all.iter().map(|me| {
         let entered = start(upstreams);
@@ -19,14 +19,14 @@
         state.started_at -= Duration::from_secs(60);
         let others = all.iter().filter(|peer| *peer != me);
         state.peers.extend(others.map(|peer| (*peer, serving("a"))));
-        Entered { node: entered.node.clone(), addr: entered.addr }
+        EntryNode { node: entered.node.clone(), addr: entered.addr }
     });
     entered.collect()
 }
 
 /// Sends requests to each node one after the other until `until`; returns how many were served.
 pub async fn send_requests(
-    nodes: &[Entered],
+    nodes: &[EntryNode],
     request: fn(&str) -> String,
     until: Instant,
 ) -> usize {
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -9,7 +9,7 @@
 use web::h1;
 
 use super::crash_cluster::{call_with_retry, CallerResult, Cluster, Platform, SLOTS};
-use super::fake::{get, ms, run, start, up, Act, Caller, Upstream};
+use super::fake::{get, incarnation, ms, run, start, Caller, Step, Upstream};
 use crate::forward::{content_of, Node};
 
 /// Time after the third crash by a request within which all nodes must know of it.
@@ -298,7 +298,7 @@
 
         platform.write(older);
         for node in &cluster.nodes {
-            node.state.borrow_mut().times_gone_back += 1;
+            node.state.borrow_mut().store_rollbacks += 1;
         }
         let is_written = || {
             let kept = platform.kept.borrow();
@@ -317,7 +317,7 @@
         let platform = Platform::default();
         let cluster = Cluster::start(96, 3, 4, "crash");
         for node in &cluster.nodes {
-            node.state.borrow_mut().settings.first_start = true;
+            node.state.borrow_mut().settings.bootstrap = true;
             platform.serve(node);
         }
         monoio::time::sleep(ms(1_500)).await;
@@ -330,8 +330,8 @@
 #[test]
 fn lost_responses_are_no_crashes() {
     run(async {
-        let upstream = Upstream::start(vec![vec![Act::Close]]);
-        let other = Upstream::start(vec![vec![Act::Close]]);
+        let upstream = Upstream::start(vec![vec![Step::Close]]);
+        let other = Upstream::start(vec![vec![Step::Close]]);
         let entered = start(&[&upstream, &other]);
         for n in 0..6 {
             let mut caller = Caller::connect(entered.addr).await;
@@ -349,14 +349,16 @@
 #[test]
 fn an_upstream_that_cannot_be_reached_has_not_crashed() {
     run(async {
-        let upstream = Upstream::start(vec![vec![Act::Close]]);
+        let upstream = Upstream::start(vec![vec![Step::Close]]);
         let entered = start(&[&upstream]);
         let mut caller = Caller::connect(entered.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "1")).await.status, 502);
         let knows_any = || !entered.node.state.borrow().quarantine.is_empty();
-        entered.node.record_connect_failure(&up("u0"), &io::ErrorKind::TimedOut.into());
+        entered.node.record_connect_failure(&incarnation("u0"), &io::ErrorKind::TimedOut.into());
         assert!(!knows_any());
-        entered.node.record_connect_failure(&up("u0"), &io::ErrorKind::ConnectionRefused.into());
+        entered
+            .node
+            .record_connect_failure(&incarnation("u0"), &io::ErrorKind::ConnectionRefused.into());
         assert!(knows_any());
     });
 }
--- a/crates/edge/src/tests/evacuation.rs
+++ b/crates/edge/src/tests/evacuation.rs
@@ -6,7 +6,7 @@
 
 use place::Zone;
 
-use super::fake::{answer, get, ms, run, start, Act, Caller, Entered, Upstream};
+use super::fake::{get, ms, ok_response, run, start, Caller, EntryNode, Step, Upstream};
 use super::fleet::{entry, platform, serving, start as start_follower, until_subscribed};
 use crate::follow::{self, Batch, Event, Source, SourceError, Topic};
 use crate::history::Cursor;
@@ -15,7 +15,7 @@
 /// Time within which an evacuation must be in force on a node that reads the platform through a peer.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_000);
 
-fn evacuate(entered: &Entered, zones: &[&str]) {
+fn evacuate(entered: &EntryNode, zones: &[&str]) {
     let zones = zones.iter().map(|zone| Zone::from(*zone)).collect();
     let frame = relay::Frame::Evacuated { up_to: 9, newest: 9, zones };
     follow::adopt(&entered.node, super::fleet::addr(2), frame).expect("adopted");
@@ -26,8 +26,8 @@
 #[test]
 fn requests_go_to_other_zones_while_one_is_evacuated() {
     run(async {
-        let near = Upstream::start(vec![vec![answer("near")]]);
-        let far = Upstream::start(vec![vec![answer("far")]]);
+        let near = Upstream::start(vec![vec![ok_response("near")]]);
+        let far = Upstream::start(vec![vec![ok_response("far")]]);
         let entered = start(&[&near, &far]);
         let ask =
             async |id: &str| Caller::connect(entered.addr).await.ask(&get("/get/1", id)).await;
@@ -47,7 +47,7 @@
 #[test]
 fn requests_in_flight_end_and_are_not_hedged() {
     run(async {
-        let slow = || vec![Act::Wait(ms(350)), answer("slow")];
+        let slow = || vec![Step::Wait(ms(350)), ok_response("slow")];
         let (one, other) = (Upstream::start(vec![slow()]), Upstream::start(vec![slow()]));
         let entered = start(&[&one, &other]);
         let mut caller = Caller::connect(entered.addr).await;
--- a/crates/edge/src/tests/in_force.rs
+++ b/crates/edge/src/tests/in_force.rs
@@ -90,15 +90,15 @@
         let platform = platform();
         let silent = TcpListener::bind("127.0.0.1:0").expect("binds");
         let mut state = state_at(addr(250), &[]);
-        state.direct = false;
+        state.reads_directly = false;
         state.peers.insert(silent.local_addr().expect("bound"), serving("a"));
         for n in 1..=2 {
             state.peers.insert(SocketAddr::from(([127, 0, 0, 1], n)), serving("a"));
         }
         // The leases have almost expired.
         let renewed_at = Instant::now() - ms(1_590);
-        state.config_seen.lease.renew(renewed_at);
-        state.list_seen.lease.renew(renewed_at);
+        state.config_progress.lease.renew(renewed_at);
+        state.list_progress.lease.renew(renewed_at);
         platform.config.set(9);
         let node = Rc::new(Node::new(Rc::new(RefCell::new(state)), metrics()));
         for topic in [Topic::Config, Topic::Upstreams] {
@@ -132,7 +132,7 @@
     run(async {
         let platform = platform();
         let mut state = state_at(addr(1), &[]);
-        state.direct = false;
+        state.reads_directly = false;
         let node = Rc::new(Node::new(Rc::new(RefCell::new(state)), metrics()));
         for topic in [Topic::Config, Topic::Upstreams] {
             monoio::spawn(follow::run(platform.clone(), topic, node.clone()));
@@ -140,7 +140,7 @@
         platform.list_is_silent.set(true);
         monoio::time::sleep(ms(200)).await;
         // Its reader is gone, and it reads the platform directly from now on.
-        node.state.borrow_mut().direct = true;
+        node.state.borrow_mut().reads_directly = true;
         assert_eq!(count_in_force(&platform, &[node]).await, 1);
     });
 }
--- a/crates/edge/src/tests/rests.rs
+++ b/crates/edge/src/tests/rests.rs
@@ -4,7 +4,7 @@
 
 use super::allowed_regions::{start_with_regions, table_with_regions};
 use super::callers::{nodes, send_requests};
-use super::fake::{answer, get, long_post, ms, post, run, start, Act, Caller, Upstream};
+use super::fake::{get, long_post, ms, ok_response, post, run, start, Caller, Step, Upstream};
 
 /// Time after the first response in which requests sent before it still arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
@@ -12,15 +12,15 @@
 /// Requests that an upstream may get from a node during its backoff.
 const MAX_REQUESTS_DURING_BACKOFF: usize = 2;
 
-fn refuse_for(seconds: &str) -> Vec<Act> {
-    vec![Act::Write(format!(
+fn refuse_for(seconds: &str) -> Vec<Step> {
+    vec![Step::Write(format!(
         "HTTP/1.1 503 Service Unavailable\r\nx-id: {{id}}\r\nx-not-run: 1\r\n\
          retry-after: {seconds}\r\ncontent-length: 0\r\n\r\n"
     ))]
 }
 
-fn respond() -> Vec<Act> {
-    vec![Act::Wait(ms(5)), answer("")]
+fn respond() -> Vec<Step> {
+    vec![Step::Wait(ms(5)), ok_response("")]
 }
 
 /// Returns how many requests came between `from` and `to` after the first request.
@@ -94,7 +94,7 @@
         {
             let state = &mut *entered.node.state.borrow_mut();
             state.apply_table(table_with_regions(3, &allowed_regions));
-            state.change_evacuations(|evacuations| evacuations.adopt_snapshot(evacuated));
+            state.update_evacuations(|evacuations| evacuations.adopt_snapshot(evacuated));
         }
         let got = ask("2").await;
         let retry_after = got.headers["retry-after"].to_str().expect("text").parse::<f64>();
@@ -108,7 +108,7 @@
 #[test]
 fn one_request_shows_whether_a_backoff_is_over() {
     run(async {
-        let slow = vec![Act::Wait(ms(200)), answer("")];
+        let slow = vec![Step::Wait(ms(200)), ok_response("")];
         let upstream = Upstream::start(vec![refuse_for("1"), slow, respond()]);
         let other = Upstream::start(vec![respond()]);
         let nodes = nodes(&[&upstream, &other]);
