--- a/crates/oatcove/src/apply.rs
+++ b/crates/oatcove/src/apply.rs
@@ -1,4 +1,7 @@
-//! Applying a template: checked, compared-and-swapped, audited, never doubled.
+//! Changes to templates, drains and evacuations.
+//!
+//! Each change is a compare-and-swap, is written together with its audit record, and takes effect
+//! at most once even if responses of the platform are lost.
 
 use std::time::{Duration, SystemTime};
 
@@ -6,82 +9,83 @@
 use smol_str::SmolStr;
 use store::{proto, Store, StoreError};
 
-/// How long an apply keeps trying while the platform is unavailable or answers are lost.
+/// Retries of a change while the platform is unavailable or its responses are lost.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// Tries of each call.
-    pub tries: u32,
-    /// Wait after the first failed try; doubled after each.
-    pub first_backoff: Duration,
+pub struct RetryConfig {
+    /// Maximum number of attempts of each request to the platform.
+    pub max_attempts: u32,
+    /// Delay after the first failed attempt; it doubles with each further one.
+    pub initial_backoff: Duration,
 }
 
-impl Default for Patience {
-    /// Eight tries from 100 ms: about 25 s in all, longer than a usual store hiccup.
+impl Default for RetryConfig {
+    /// Returns eight attempts with delays from 100 ms on: about 25 s in all, which is longer than
+    /// the store is usually unavailable.
     fn default() -> Self {
-        Patience { tries: 8, first_backoff: Duration::from_millis(100) }
+        RetryConfig { max_attempts: 8, initial_backoff: Duration::from_millis(100) }
     }
 }
 
 quick_error! {
-    /// Why a template was not applied.
+    /// The reason why a change was not applied.
     #[derive(Debug)]
     pub enum ApplyError {
-        /// The template has findings; nothing was written.
+        /// The template is invalid; nothing was written.
         Invalid(findings: config::Findings) {
             display("template rejected:\n{}", findings)
         }
-        /// Another change landed after this one read the template; nothing was written.
+        /// Another change was committed after the current version was read; nothing was written.
         Conflict(current_version: proto::Version) {
-            display("conflict: the template changed since it was read and is now at version {}; \
-                     read it again and re-apply", current_version)
+            display("conflict: another change was committed first, as version {}; \
+                     read the current state and apply your change again", current_version)
         }
-        /// The platform stayed unavailable; nothing was written.
+        /// The platform was unavailable at every attempt; nothing was written.
         Unavailable(err: StoreError) {
             display("platform unavailable, nothing written: {}", err)
         }
-        /// The outcome could not be learned: the change may or may not be in force.
+        /// The outcome could not be determined: the change may or may not be in force.
         Unknown(err: StoreError) {
-            display("outcome unknown: {}; `oatcove audit log` shows whether it landed", err)
+            display("outcome unknown: {}; `oatcove audit log` shows whether the change was committed", err)
         }
     }
 }
 
-/// What an apply did.
+/// Result of a successful change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
     /// The change is in force at this version.
     Written {
-        /// Version of the template row now.
+        /// New version of the row.
         version: proto::Version,
-        /// Id of the change, also on its audit record.
+        /// Identifier of the change, also in its audit record.
         change_id: SmolStr,
     },
-    /// The stored template is already this text; nothing was written.
+    /// The stored row already has this value; nothing was written.
     Unchanged {
-        /// Version of the template row.
+        /// Version of the row; 0 if there is none, because nothing was there to lift.
         version: proto::Version,
     },
 }
 
-/// Checks `text` as a template and writes it with its audit record.
+/// Validates `text` as a template and writes it with its audit record.
 ///
-/// The write is a transaction conditional on the version read, so of two
-/// operators racing on one template exactly one wins and the other gets
-/// [`ApplyError::Conflict`]. When the platform's answer is lost, the audit
-/// record is looked for: it exists exactly when the change landed.
+/// The transaction is conditional on the version that was read: if two operators change the same
+/// template at once, exactly one succeeds and the other gets [`ApplyError::Conflict`]. If the
+/// platform's response is lost, the audit record is read back: it exists if and only if the change
+/// was committed.
 ///
 /// # Errors
 ///
-/// See [`ApplyError`]; in every case but `Unknown` nothing was written.
+/// See [`ApplyError`]; nothing was written unless it is `Unknown`.
 pub async fn apply(
     store: &Store,
     text: &str,
     actor: &str,
-    patience: Patience,
+    retry: RetryConfig,
 ) -> Result<Applied, ApplyError> {
     let template = config::Template::parse(text).map_err(ApplyError::Invalid)?;
     let service = template.service;
-    let current = with_retries(patience, || store.get(store::TEMPLATES, &service)).await?;
+    let current = with_retries(retry, || store.get(store::TEMPLATES, &service)).await?;
     let (version_before, old_text) = match &current {
         Some(row) if row.value == text => return Ok(Applied::Unchanged { version: row.version }),
         Some(row) => (row.version, row.value.as_str()),
@@ -102,86 +106,88 @@
         expected_version: version_before,
         value: text.to_owned(),
     };
-    commit(store, write, &record, patience)
+    commit(store, write, &record, retry)
         .await
         .map(|version| Applied::Written { version, change_id })
 }
 
-/// Marks the upstream VM `vm_id` at `upstream` drained, or with `lift` takes that back,
-/// with its audit record.
+/// Drains the upstream VM `vm_id` at address `upstream`, or lifts its drain if `lift` is set, and
+/// writes the audit record.
 ///
-/// Every entry node stops sending it new calls once it reads the drain
-/// (within one `config_poll_ms`), whatever the lagging VM list says. The drain
-/// holds for that VM only: another VM that comes to the address gets work.
+/// Every entry node stops sending new calls to the VM once it has read the drain (within one
+/// `config_poll_ms`), whatever the lagging VM list says. The drain applies to that VM only: another
+/// VM that gets the address later receives calls. If the row already has the requested value,
+/// nothing is written and the result is [`Applied::Unchanged`].
 ///
 /// # Errors
 ///
-/// As [`apply`]; a drain already as asked for is [`Applied::Unchanged`].
+/// See [`ApplyError`]; nothing was written unless it is `Unknown`.
 pub async fn drain(
     store: &Store,
     upstream: std::net::SocketAddr,
     vm_id: &str,
     lift: bool,
     actor: &str,
-    patience: Patience,
+    retry: RetryConfig,
 ) -> Result<Applied, ApplyError> {
     let wanted = proto::Drain { vm_id: vm_id.into(), lifted: lift };
-    let verb = if lift { "-drain" } else { "+drain" };
-    let mark = Mark {
-        kind: "drains",
+    let change = if lift { "-drain" } else { "+drain" };
+    let operator_row = OperatorRow {
+        audit_service: "drains",
         key: smol_str::format_smolstr!("{upstream}"),
-        value: serde_json::to_string(&wanted).expect("drain encodes"),
+        value: serde_json::to_string(&wanted).expect("drain can be serialized as JSON"),
         is_lifted: lift,
-        diff: format!("{verb} {upstream} vm_id {vm_id}\n"),
+        diff: format!("{change} {upstream} vm_id {vm_id}\n"),
     };
-    write_mark(store, mark, actor, patience).await
+    write_operator_row(store, operator_row, actor, retry).await
 }
 
-/// Evacuates an availability zone, or with `lift` takes that back, with its audit record.
+/// Evacuates an availability zone, or restores it if `lift` is set, and writes the audit record.
 ///
-/// Every entry node stops sending its upstreams new calls once it reads the evacuation (within one
-/// `config_poll_ms`); calls under way end.
+/// Every entry node stops sending new calls to the zone's upstreams once it has read the evacuation
+/// (within one `config_poll_ms`); calls in flight are completed. If the row already has the
+/// requested value, nothing is written and the result is [`Applied::Unchanged`].
 ///
 /// # Errors
 ///
-/// As [`apply`]; a zone already as asked for is [`Applied::Unchanged`].
+/// See [`ApplyError`]; nothing was written unless it is `Unknown`.
 pub async fn evacuate(
     store: &Store,
     zone: &str,
     lift: bool,
     actor: &str,
-    patience: Patience,
+    retry: RetryConfig,
 ) -> Result<Applied, ApplyError> {
     let wanted = proto::Evacuation { lifted: lift };
-    let verb = if lift { "-evacuate" } else { "+evacuate" };
-    let mark = Mark {
+    let change = if lift { "-evacuate" } else { "+evacuate" };
+    let operator_row = OperatorRow {
         key: smol_str::format_smolstr!("{}{zone}", store::EVACUATED_PREFIX),
-        kind: "zones",
-        value: serde_json::to_string(&wanted).expect("evacuation encodes"),
+        audit_service: "zones",
+        value: serde_json::to_string(&wanted).expect("evacuation can be serialized as JSON"),
         is_lifted: lift,
-        diff: format!("{verb} {zone}\n"),
+        diff: format!("{change} {zone}\n"),
     };
-    write_mark(store, mark, actor, patience).await
+    write_operator_row(store, operator_row, actor, retry).await
 }
 
-/// A row by which an operator marks something, or takes that back.
-struct Mark {
-    /// What its audit record stands under, in place of a service.
-    kind: &'static str,
+/// A row of the drains table to be written for an operator: a drain or an evacuation.
+struct OperatorRow {
+    /// Value of the audit record's service field; the row belongs to no service.
+    audit_service: &'static str,
     key: SmolStr,
     value: String,
     is_lifted: bool,
     diff: String,
 }
 
-async fn write_mark(
+async fn write_operator_row(
     store: &Store,
-    mark: Mark,
+    operator_row: OperatorRow,
     actor: &str,
-    patience: Patience,
+    retry: RetryConfig,
 ) -> Result<Applied, ApplyError> {
-    let Mark { kind, key, value, is_lifted, diff } = mark;
-    let current = with_retries(patience, || store.get(store::DRAINS, &key)).await?;
+    let OperatorRow { audit_service, key, value, is_lifted, diff } = operator_row;
+    let current = with_retries(retry, || store.get(store::DRAINS, &key)).await?;
     let version_before = match &current {
         Some(row) if row.value == value => return Ok(Applied::Unchanged { version: row.version }),
         Some(row) => row.version,
@@ -191,7 +197,7 @@
     let change_id = new_change_id();
     let record = audit::Record {
         change_id: change_id.clone(),
-        service: kind.into(),
+        service: audit_service.into(),
         actor: actor.into(),
         at_unix_ms: unix_ms(),
         version_before,
@@ -203,10 +209,10 @@
         expected_version: version_before,
         value: value.clone(),
     };
-    match commit(store, write, &record, patience).await {
+    match commit(store, write, &record, retry).await {
         Ok(version) => Ok(Applied::Written { version, change_id }),
         Err(ApplyError::Conflict(version)) => {
-            // Another operator may have asked for the very same: then it holds.
+            // Another operator may have written the same value, which is then in force.
             match store.get(store::DRAINS, &key).await {
                 Ok(Some(row)) if row.value == value => {
                     Ok(Applied::Unchanged { version: row.version })
@@ -218,17 +224,17 @@
     }
 }
 
-/// Commits `write` with its audit record in one transaction, resolving lost answers by the record.
+/// Commits `write` and its audit record in one transaction; reads the record back after a lost
+/// response.
 ///
-/// The audit record is what tells whether the change landed: its key holds
-/// the change id and nothing ever writes it again. The changed row does not
-/// tell: another operator may have replaced it since, and an accepted change
-/// would be reported as refused.
+/// The audit record shows whether the change was committed: its key contains the change id and is
+/// never written again. The changed row does not show it: another operator may have replaced it
+/// since, and a committed change would be reported as a conflict.
 async fn commit(
     store: &Store,
     write: proto::Write,
     record: &audit::Record,
-    patience: Patience,
+    retry: RetryConfig,
 ) -> Result<proto::Version, ApplyError> {
     let audit_key = smol_str::format_smolstr!("{}/{}", record.service, record.change_id);
     let audit_write = proto::Write {
@@ -238,88 +244,93 @@
         value: record.to_json(),
     };
     let txn = proto::Txn { change_id: record.change_id.clone(), writes: vec![write, audit_write] };
-    let mut backoff = patience.first_backoff;
-    let mut last = StoreError::Unavailable("no try made".to_owned());
+    let mut backoff = retry.initial_backoff;
+    let mut last_error = StoreError::Unavailable("no try made".to_owned());
     let mut maybe_written = false;
-    for _ in 0..patience.tries {
+    for _ in 0..retry.max_attempts {
         match try_commit(store, &txn, &audit_key, &mut maybe_written).await {
             Ok(version) => return Ok(version),
-            Err(Failed::ForGood(err)) => return Err(err),
-            Err(Failed::ThisTime(err)) => last = err,
+            Err(CommitError::Permanent(err)) => return Err(err),
+            Err(CommitError::Transient(err)) => last_error = err,
         }
         monoio::time::sleep(backoff).await;
         backoff *= 2;
     }
     match maybe_written {
-        true => Err(ApplyError::Unknown(last)),
-        false => Err(ApplyError::Unavailable(last)),
+        true => Err(ApplyError::Unknown(last_error)),
+        false => Err(ApplyError::Unavailable(last_error)),
     }
 }
 
-/// Why one try of a commit failed.
-enum Failed {
-    /// Another try may succeed.
-    ThisTime(StoreError),
-    /// No further try can.
-    ForGood(ApplyError),
+/// The reason why one attempt of a commit failed.
+enum CommitError {
+    /// Another attempt may succeed.
+    Transient(StoreError),
+    /// No further attempt can succeed.
+    Permanent(ApplyError),
 }
 
-/// Returns the version at which the change of the audit record at `audit_key` landed, if it did.
-async fn landed(store: &Store, audit_key: &str) -> Result<Option<proto::Version>, Failed> {
-    let record = store.get(store::AUDIT, audit_key).await.map_err(Failed::ThisTime)?;
+/// Returns the version of the commit that wrote the audit record at `audit_key`, if there is one.
+async fn committed_version(
+    store: &Store,
+    audit_key: &str,
+) -> Result<Option<proto::Version>, CommitError> {
+    let record = store.get(store::AUDIT, audit_key).await.map_err(CommitError::Transient)?;
     Ok(record.map(|row| row.version))
 }
 
-/// Tries `txn` once; `maybe_written` says, before and after, whether a try may have landed unseen.
+/// Attempts to commit `txn` once. `maybe_written` states, before and after the call, whether an
+/// attempt may have been committed without a response.
 ///
-/// Sending again is safe: the audit record must not exist yet, so at most one
-/// of all tries ever lands.
+/// Sending `txn` again is safe: it requires that the audit record does not exist yet, so that at
+/// most one of all attempts is committed.
 async fn try_commit(
     store: &Store,
     txn: &proto::Txn,
     audit_key: &str,
     maybe_written: &mut bool,
-) -> Result<proto::Version, Failed> {
+) -> Result<proto::Version, CommitError> {
     if *maybe_written {
-        if let Some(version) = landed(store, audit_key).await? {
+        if let Some(version) = committed_version(store, audit_key).await? {
             return Ok(version);
         }
     }
     match store.commit(txn).await {
         Ok(committed) => Ok(committed.version),
         Err(StoreError::Conflict(conflict)) if *maybe_written => {
-            // The row moved on, so no earlier try can land any more; one may have landed, though.
-            let conflict = Failed::ForGood(ApplyError::Conflict(conflict.current_version));
-            landed(store, audit_key).await?.ok_or(conflict)
+            // The row has changed, so that no earlier attempt can be committed any more, but one
+            // may have been committed before.
+            let conflict = CommitError::Permanent(ApplyError::Conflict(conflict.current_version));
+            committed_version(store, audit_key).await?.ok_or(conflict)
         }
         Err(StoreError::Conflict(conflict)) => {
-            Err(Failed::ForGood(ApplyError::Conflict(conflict.current_version)))
+            Err(CommitError::Permanent(ApplyError::Conflict(conflict.current_version)))
         }
         Err(err @ (StoreError::Unknown(_) | StoreError::BadResponse(_))) => {
             *maybe_written = true;
-            Err(Failed::ThisTime(err))
+            Err(CommitError::Transient(err))
         }
-        Err(err @ StoreError::Unavailable(_)) => Err(Failed::ThisTime(err)),
+        Err(err @ StoreError::Unavailable(_)) => Err(CommitError::Transient(err)),
     }
 }
 
-/// Runs a read, retrying while the platform is unavailable.
-async fn with_retries<T, F, Fut>(patience: Patience, mut read: F) -> Result<T, ApplyError>
+/// Runs `read` until it succeeds or the attempts are used up.
+async fn with_retries<T, F, Fut>(retry: RetryConfig, mut read: F) -> Result<T, ApplyError>
 where
     F: FnMut() -> Fut,
     Fut: std::future::Future<Output = Result<T, StoreError>>,
 {
-    let mut backoff = patience.first_backoff;
-    let mut last = StoreError::Unavailable("no try made".to_owned());
-    for _ in 0..patience.tries {
+    let mut backoff = retry.initial_backoff;
+    let mut last_error = StoreError::Unavailable("no try made".to_owned());
+    for _ in 0..retry.max_attempts {
         match read().await {
             Ok(value) => return Ok(value),
-            Err(err) => last = err,
+            Err(err) => last_error = err,
         }
         monoio::time::sleep(backoff).await;
         backoff *= 2;
     }
-    Err(ApplyError::Unavailable(last))
+    Err(ApplyError::Unavailable(last_error))
 }
 
 fn new_change_id() -> SmolStr {
--- a/crates/oatcove/src/apply/tests.rs
+++ b/crates/oatcove/src/apply/tests.rs
@@ -4,75 +4,75 @@
 
 use std::time::Duration;
 
-use crate::apply::{self, Applied, ApplyError, Patience};
+use crate::apply::{self, Applied, ApplyError, RetryConfig};
 
-const QUICK: Patience = Patience { tries: 3, first_backoff: Duration::from_millis(5) };
+const FAST_RETRY: RetryConfig =
+    RetryConfig { max_attempts: 3, initial_backoff: Duration::from_millis(5) };
 
 async fn apply(store: &store::Store, text: &str, actor: &str) -> Result<Applied, ApplyError> {
-    apply::apply(store, text, actor, QUICK).await
+    apply::apply(store, text, actor, FAST_RETRY).await
 }
 
 const V1: &str = "service: swap-desk\ndefaults:\n  timeout_ms: 800\n";
 const V2: &str = "service: swap-desk\ndefaults:\n  timeout_ms: 400\n";
 
-/// Starts a platform stand-in on a free loopback port.
+/// Starts a stand-in platform on a free loopback port.
 fn start_platform() -> (Rc<emu::platform::Platform>, store::Store) {
     let listener = monoio::net::TcpListener::bind("127.0.0.1:0").expect("bind");
     let addr = listener.local_addr().expect("addr");
-    let table = Rc::new(emu::platform::Platform::default());
-    monoio::spawn(web::serve(listener, table.clone()));
-    (table, store::Store::new(addr))
+    let platform = Rc::new(emu::platform::Platform::default());
+    monoio::spawn(web::serve(listener, platform.clone()));
+    (platform, store::Store::new(addr))
 }
 
-/// Symptom: a change applied once shows twice in the audit trail, or the CLI
-/// reports failure for a change that is in force.
-/// Sequence: the platform commits the transaction and its answer is lost.
-/// Cause: treating a lost answer as a failure and blindly writing again.
+/// Guards against a change that is recorded twice in the audit trail, or reported as failed
+/// although it is in force, because a lost response to a commit is taken for a failure and the
+/// change is written again without a check.
 #[test]
-fn lost_ack_is_resolved_by_reading_back_the_change_id() {
+fn lost_response_is_resolved_by_reading_back_the_change_id() {
     web::runtime().block_on(async {
-        let (table, store) = start_platform();
-        table.set_faults(proto::Faults { lose_acks: 1, ..Default::default() });
+        let (platform, store) = start_platform();
+        platform.set_faults(proto::Faults { lose_acks: 1, ..Default::default() });
         let applied = apply(&store, V1, "ana").await.expect("applied");
         let Applied::Written { version, change_id } = applied else {
             panic!("not written: {applied:?}")
         };
-        let rows = table.rows(store::TEMPLATES);
+        let rows = platform.rows(store::TEMPLATES);
         assert_eq!(rows.len(), 1);
         assert_eq!((rows[0].version, rows[0].change_id.clone()), (version, change_id));
-        assert_eq!(table.rows(store::AUDIT).len(), 1);
+        assert_eq!(platform.rows(store::AUDIT).len(), 1);
     });
 }
 
-/// Symptom: an operator is told "conflict, nothing written" for a change that is in force.
-/// Sequence: the answer to a commit is lost and the commit is not there yet
-/// when it is looked for; it lands just before it is sent again.
-/// Cause: taking the second try's conflict at its word. The platform is slow
-/// here so that the commit (due at 105 ms) lands between the look (85 ms) and
-/// the second try (125 ms).
+/// Guards against a conflict reported for a change that is in force. The response to a commit is
+/// lost and the change is committed after its audit record was read back but before it is sent
+/// again, so that the second attempt conflicts with the first. The delays of the platform make the
+/// commit (at 105 ms) fall between the read (85 ms) and the second attempt (125 ms).
 #[test]
-fn a_conflict_with_ones_own_late_commit_is_no_conflict() {
+fn a_conflict_with_an_earlier_attempt_of_the_same_change_is_a_success() {
     web::runtime().block_on(async {
-        let (table, store) = start_platform();
+        let (platform, store) = start_platform();
         let faults =
             proto::Faults { delay_ms: 40, late_commits: 1, late_ms: 65, ..Default::default() };
-        table.set_faults(faults);
-        let patience =
-            crate::apply::Patience { tries: 5, first_backoff: std::time::Duration::from_millis(5) };
-        let applied = crate::apply::apply(&store, V1, "ana", patience).await.expect("applied");
+        platform.set_faults(faults);
+        let retry = crate::apply::RetryConfig {
+            max_attempts: 5,
+            initial_backoff: std::time::Duration::from_millis(5),
+        };
+        let applied = crate::apply::apply(&store, V1, "ana", retry).await.expect("applied");
         let Applied::Written { version, .. } = applied else { panic!("{applied:?}") };
-        assert_eq!(table.rows(store::TEMPLATES)[0].version, version);
-        assert_eq!(table.rows(store::AUDIT).len(), 1);
+        assert_eq!(platform.rows(store::TEMPLATES)[0].version, version);
+        assert_eq!(platform.rows(store::AUDIT).len(), 1);
     });
 }
 
-/// Symptom: two operators both believe their change won; one silently vanished.
-/// Sequence: both read the same version of one template and commit.
-/// Cause: a blind write instead of compare-and-swap on the version read.
+/// Guards against a lost update: two operators read the same version of a template, both commit,
+/// and one change disappears although both were reported as successful. Cause: a write that is not
+/// conditional on the version that was read.
 #[test]
-fn racing_operators_one_wins_the_other_sees_a_conflict() {
+fn of_two_concurrent_changes_one_succeeds_and_the_other_conflicts() {
     web::runtime().block_on(async {
-        let (table, store) = start_platform();
+        let (platform, store) = start_platform();
         let base = apply(&store, V1, "ana").await.expect("first");
         let Applied::Written { version, .. } = base else { panic!("{base:?}") };
         let write = |text: &str, id: &str| proto::Txn {
@@ -88,38 +88,38 @@
         let second = store.commit(&write("service: swap-desk\n", "b")).await;
         assert!(first.is_ok());
         assert!(matches!(second, Err(store::StoreError::Conflict(_))), "{second:?}");
-        assert_eq!(table.rows(store::TEMPLATES)[0].value, V2);
+        assert_eq!(platform.rows(store::TEMPLATES)[0].value, V2);
     });
 }
 
-/// Symptom: the CLI hangs or claims success while the platform is down.
-/// Sequence: the platform is in an outage for the whole apply.
-/// Cause: not telling "nothing written" apart from "outcome unknown".
+/// Guards against an apply that hangs, or reports success, during an outage of the platform that
+/// lasts for all attempts. Cause: "nothing was written" is not told apart from "the outcome is
+/// unknown".
 #[test]
 fn outage_reports_nothing_written() {
     web::runtime().block_on(async {
-        let (table, store) = start_platform();
-        table.set_faults(proto::Faults { outage: true, ..Default::default() });
+        let (platform, store) = start_platform();
+        platform.set_faults(proto::Faults { outage: true, ..Default::default() });
         let result = apply(&store, V1, "ana").await;
         assert!(matches!(result, Err(ApplyError::Unavailable(_))), "{result:?}");
-        assert!(table.rows(store::TEMPLATES).is_empty());
+        assert!(platform.rows(store::TEMPLATES).is_empty());
     });
 }
 
 #[test]
 fn invalid_template_writes_nothing() {
     web::runtime().block_on(async {
-        let (table, store) = start_platform();
+        let (platform, store) = start_platform();
         let result = apply(&store, "service: a\ndefaults:\n  timeout: 3\n", "ana").await;
         assert!(matches!(result, Err(ApplyError::Invalid(_))), "{result:?}");
-        assert!(table.rows(store::TEMPLATES).is_empty());
+        assert!(platform.rows(store::TEMPLATES).is_empty());
     });
 }
 
 #[test]
-fn same_text_again_is_unchanged() {
+fn applying_the_same_text_again_changes_nothing() {
     web::runtime().block_on(async {
-        let (_table, store) = start_platform();
+        let (_platform, store) = start_platform();
         apply(&store, V1, "ana").await.expect("first");
         let again = apply(&store, V1, "ana").await.expect("second");
         assert!(matches!(again, Applied::Unchanged { .. }), "{again:?}");
@@ -127,17 +127,18 @@
 }
 
 #[test]
-fn an_evacuation_is_written_once_with_its_record_and_taken_back() {
+fn an_evacuation_is_written_once_with_its_record_and_can_be_lifted() {
     web::runtime().block_on(async {
-        let (table, store) = start_platform();
-        let evacuate = async |lift| apply::evacuate(&store, "attiki-b", lift, "ana", QUICK).await;
+        let (platform, store) = start_platform();
+        let evacuate =
+            async |lift| apply::evacuate(&store, "attiki-b", lift, "ana", FAST_RETRY).await;
         assert!(matches!(evacuate(true).await, Ok(Applied::Unchanged { version: 0 })));
         assert!(matches!(evacuate(false).await, Ok(Applied::Written { .. })));
-        table.set_faults(proto::Faults { lose_acks: 1, ..Default::default() });
+        platform.set_faults(proto::Faults { lose_acks: 1, ..Default::default() });
         assert!(matches!(evacuate(false).await, Ok(Applied::Unchanged { .. })));
         assert!(matches!(evacuate(true).await, Ok(Applied::Written { .. })));
-        assert_eq!(table.rows(store::DRAINS)[0].value, r#"{"lifted":true}"#);
-        let records = table.rows(store::AUDIT);
+        assert_eq!(platform.rows(store::DRAINS)[0].value, r#"{"lifted":true}"#);
+        let records = platform.rows(store::AUDIT);
         let diff = |row: &proto::Row| audit::Record::from_json(&row.value).expect("a record").diff;
         let mut diffs: Vec<String> = records.iter().map(diff).collect();
         diffs.sort();
--- a/crates/oatcove/src/explain.rs
+++ b/crates/oatcove/src/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one request, out of the logs of all entry nodes.
+//! Timeline of one request, from the logs of all entry nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,13 +6,15 @@
 
 use crate::log_line::{self, Line};
 
-/// How long before a request's first line what its upstreams went through still matters, in ms.
+/// Events of the nodes and upstreams are included from this many milliseconds before the first line
+/// of the request.
 const CONTEXT_BEFORE_MS: u64 = 10_000;
 
-/// How long after its last line, in ms: a node learns of a crash seconds later.
+/// Events are included until this many milliseconds after its last line: a node learns of a crash
+/// seconds later.
 const CONTEXT_AFTER_MS: u64 = 5_000;
 
-/// Events of a node that explain what became of its requests.
+/// Events of a node that can explain what happened to its requests.
 const NODE_EVENTS: [&str; 9] = [
     "started",
     "stopping",
@@ -25,8 +27,8 @@
     "lines_dropped",
 ];
 
-/// Events that tell of trouble with an upstream.
-const TROUBLE_EVENTS: [&str; 10] = [
+/// Events that report a problem with an upstream, or a limit, stop or backoff that it announced.
+const UPSTREAM_PROBLEM_EVENTS: [&str; 10] = [
     "upstream_ended",
     "answer_lost",
     "connect_failed",
@@ -39,12 +41,15 @@
     "upstream_rests",
 ];
 
-/// Returns what is known of `request`, in order: its own lines, and those about the upstreams it
-/// was sent to and about the nodes that took it, around the time. `request` is the id of one attempt,
-/// or the key of what a request asks (`content`): all its attempts are told then, on all nodes.
+/// Returns the timeline of `request`, sorted by time and formatted for output: its own lines, and
+/// lines of the same period about the upstreams it was sent to and the nodes that received it.
+/// After these come the counts of problems that other requests had with its upstreams.
 ///
-/// `logs` holds the lines of any number of nodes; text before a line's JSON object names its node.
-/// Lines that are no JSON are passed over.
+/// `request` is the id of one attempt, or a content key (log field `content`), which selects all
+/// attempts of a request on all nodes.
+///
+/// `logs` contains log lines of any number of nodes; the last word before a line's JSON object is
+/// the name of its node. Lines without a JSON object are skipped.
 pub fn explain(request: &str, logs: &str) -> Vec<String> {
     let lines: Vec<Line> = logs.lines().filter_map(log_line::parse).collect();
     let own: Vec<&Line> = lines.iter().filter(|line| is_about(&line.value, request)).collect();
@@ -58,40 +63,43 @@
     let upstreams: BTreeSet<&str> = own.iter().flat_map(|line| upstreams(&line.value)).collect();
     let contents: BTreeSet<&str> =
         own.iter().filter_map(|line| line.value["content"].as_str()).collect();
-    let mut story: Vec<&Line> = lines
+    let mut timeline: Vec<&Line> = lines
         .iter()
         .filter(|line| {
-            let about_it = is_about(&line.value, request);
+            let of_request = is_about(&line.value, request);
             let event = line.value["event"].as_str().unwrap_or_default();
             let of_node = nodes.contains(node(&line.prefix)) && NODE_EVENTS.contains(&event);
             let upstream = line.value["upstream"].as_str();
             let of_upstream = line.value["request"].is_null()
                 && nodes.contains(node(&line.prefix))
                 && upstream.is_some_and(|u| upstreams.contains(u));
-            // Why it was held back, or no longer, on any node and however long before.
+            // Shows why the request is quarantined, or no longer is; on any node and however long
+            // ago.
             let of_content = line.value["request"].is_null()
                 && line.value["content"].as_str().is_some_and(|c| contents.contains(c));
             let in_span = span.contains(&line.unix_ms);
-            about_it || of_content || (in_span && (of_node || of_upstream))
+            of_request || of_content || (in_span && (of_node || of_upstream))
         })
         .collect();
-    story.sort_by_key(|line| line.unix_ms);
-    let mut told: Vec<String> = story.iter().map(|line| tell(line, request, first)).collect();
-    told.extend(upstreams.iter().filter_map(|upstream| {
-        trouble_elsewhere(upstream, request, lines.iter().filter(|l| span.contains(&l.unix_ms)))
+    timeline.sort_by_key(|line| line.unix_ms);
+    let mut output: Vec<String> =
+        timeline.iter().map(|line| format_line(line, request, first)).collect();
+    output.extend(upstreams.iter().filter_map(|upstream| {
+        other_problems(upstream, request, lines.iter().filter(|l| span.contains(&l.unix_ms)))
     }));
-    told
+    output
 }
 
-/// Returns true for a line about `request`, by its id or by what it asks.
+/// Returns true if a line is about `request`, which is a request id or a content key.
 fn is_about(line: &Value, request: &str) -> bool {
-    let under_way = line["under_way"].as_array().into_iter().flatten();
-    let mut contents = under_way.map(|lost| &lost["content"]).chain([&line["content"]]);
+    let lost_requests = line["under_way"].as_array().into_iter().flatten();
+    let mut contents = lost_requests.map(|lost| &lost["content"]).chain([&line["content"]]);
     line["request"] == request || contents.any(|content| content == request)
 }
 
-/// Returns how other requests and nodes fared with `upstream` around the time; `None` when well.
-fn trouble_elsewhere<'a>(
+/// Returns the counts of problems that other requests had with `upstream`, on all nodes; `None` if
+/// there were none.
+fn other_problems<'a>(
     upstream: &str,
     request: &str,
     lines: impl Iterator<Item = &'a Line>,
@@ -100,7 +108,7 @@
     for line in lines {
         let event = line.value["event"].as_str().unwrap_or_default();
         let about = line.value["upstream"] == upstream && !is_about(&line.value, request);
-        if about && TROUBLE_EVENTS.contains(&event) {
+        if about && UPSTREAM_PROBLEM_EVENTS.contains(&event) {
             *counts.entry(event).or_default() += 1;
         }
     }
@@ -109,7 +117,7 @@
         .then(|| format!("  upstream {upstream}, all nodes, other requests: {}", counts.join(" ")))
 }
 
-/// Returns the last word of what stands before the JSON object.
+/// Returns the name of the node: the last word before the JSON object.
 fn node(prefix: &str) -> &str {
     prefix.rsplit(' ').next().unwrap_or_default()
 }
@@ -120,9 +128,9 @@
     sent.chain(value["upstream"].as_str()).collect()
 }
 
-fn tell(line: &Line, request: &str, first_ms: u64) -> String {
+fn format_line(line: &Line, request: &str, first_ms: u64) -> String {
     let offset_ms = line.unix_ms as i64 - first_ms as i64;
-    let mark = if is_about(&line.value, request) { "*" } else { " " };
+    let marker = if is_about(&line.value, request) { "*" } else { " " };
     let event = line.value["event"].as_str().unwrap_or("?");
     let fields: Vec<String> = line
         .value
@@ -134,7 +142,7 @@
         })
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    format!("{mark} {offset_ms:+6} ms  {}  {event}  {}", node(&line.prefix), fields.join(" "))
+    format!("{marker} {offset_ms:+6} ms  {}  {event}  {}", node(&line.prefix), fields.join(" "))
 }
 
 #[cfg(test)]
--- a/crates/oatcove/src/explain/tests.rs
+++ b/crates/oatcove/src/explain/tests.rs
@@ -13,18 +13,18 @@
 "#;
 
 #[test]
-fn a_requests_story_is_its_lines_and_what_befell_its_node_and_upstreams() {
-    let story = explain("aa", LOGS).join("\n");
-    let lines: Vec<&str> = story.lines().collect();
-    assert_eq!(lines.len(), 4, "{story}");
-    assert!(lines[0].contains("config_applied") && lines[0].contains("-4000 ms"), "{story}");
-    assert!(lines[1].starts_with('*') && lines[1].contains("answer_lost"), "{story}");
-    assert!(lines[2].starts_with('*') && lines[2].contains("+300 ms"), "{story}");
+fn timeline_contains_the_lines_of_a_request_and_events_of_its_node_and_upstreams() {
+    let timeline = explain("aa", LOGS).join("\n");
+    let lines: Vec<&str> = timeline.lines().collect();
+    assert_eq!(lines.len(), 4, "{timeline}");
+    assert!(lines[0].contains("config_applied") && lines[0].contains("-4000 ms"), "{timeline}");
+    assert!(lines[1].starts_with('*') && lines[1].contains("answer_lost"), "{timeline}");
+    assert!(lines[2].starts_with('*') && lines[2].contains("+300 ms"), "{timeline}");
     assert!(lines[3].contains("upstream u1") && lines[3].ends_with("probe_connect_failed=1"));
 }
 
 #[test]
-fn a_request_without_lines_has_no_story() {
+fn timeline_of_a_request_without_lines_is_empty() {
     assert!(explain("cc", LOGS).is_empty());
     assert!(explain("aa", "").is_empty());
 }
@@ -38,9 +38,9 @@
 node-3 {"unix_ms":99001,"event":"refused","request":"dd","content":"00ef","reason":"would be too late","sends":[]}
 "#;
 
-/// An operator asks why a request is refused: by its id, and by what it asks.
+/// The reason of a refusal is found by the request id and by the content key.
 #[test]
-fn a_request_that_is_held_back_is_explained() {
+fn timeline_shows_why_a_request_is_quarantined() {
     let by_id = explain("cc", CRASHES).join("\n");
     assert!(by_id.contains("held_back") && by_id.contains("crashes upstreams"), "{by_id}");
     let by_content = explain("00ab", CRASHES);
@@ -49,16 +49,20 @@
     assert!(!text.contains("00ef") && text.contains("upstream_ended"), "{text}");
 }
 
-const RESTS: &str = r#"
+const BACKOFFS: &str = r#"
 node-1 {"unix_ms":1000,"event":"upstream_rests","upstream":"u1","asked_ms":3000,"told_by":"this node"}
 node-2 {"unix_ms":1200,"event":"upstream_leaving","upstream":"u1","told_by":"a peer"}
 node-1 {"unix_ms":1500,"event":"not_run_by_upstream","request":"aa","sends":[{"upstream":"u1"}],"upstream":"u1","status":503}
 "#;
 
-/// Guards against a refusal whose reason, what the upstream had asked for, is not told.
+/// Guards against a refusal whose reason, the backoff that the upstream had asked for, is not
+/// shown.
 #[test]
-fn what_an_upstream_had_asked_for_is_told() {
-    let story = explain("aa", RESTS).join("\n");
-    assert!(story.contains("upstream_rests") && story.contains("asked_ms=3000"), "{story}");
-    assert!(story.contains("all nodes, other requests: upstream_leaving=1"), "{story}");
+fn timeline_shows_the_backoff_that_an_upstream_asked_for() {
+    let timeline = explain("aa", BACKOFFS).join("\n");
+    assert!(
+        timeline.contains("upstream_rests") && timeline.contains("asked_ms=3000"),
+        "{timeline}"
+    );
+    assert!(timeline.contains("all nodes, other requests: upstream_leaving=1"), "{timeline}");
 }
--- a/crates/oatcove/src/log_line.rs
+++ b/crates/oatcove/src/log_line.rs
@@ -1,16 +1,16 @@
-//! One line of an entry node's log.
+//! Parser for one line of an entry node's log.
 
 use serde_json::Value;
 
-/// One line of a log.
+/// A parsed log line.
 pub(crate) struct Line {
     pub(crate) unix_ms: u64,
-    /// What stood before the JSON object, such as a node's name put there by a collector.
+    /// Text before the JSON object, such as a node name added by a log collector.
     pub(crate) prefix: String,
     pub(crate) value: Value,
 }
 
-/// Reads a line; `None` when it holds no object of ours.
+/// Parses a line; returns `None` if it contains no JSON object with a time.
 pub(crate) fn parse(text: &str) -> Option<Line> {
     let at = text.find('{')?;
     let value: Value = serde_json::from_str(&text[at..]).ok()?;
--- a/crates/oatcove/src/main.rs
+++ b/crates/oatcove/src/main.rs
@@ -155,7 +155,7 @@
     zone: String,
 }
 
-/// Exit codes, so scripts can tell outcomes apart.
+/// Exit codes by which scripts distinguish outcomes.
 mod exit {
     pub const INVALID: i32 = 2;
     pub const CONFLICT: i32 = 3;
@@ -191,12 +191,13 @@
     }
 }
 
-/// Reads all of `files`, or standard input when there is none.
+/// Reads all `files`, or standard input if there are none; prints a failure and returns its exit
+/// code.
 fn read_logs(files: &[PathBuf]) -> Result<String, i32> {
     let mut text = String::new();
     if files.is_empty() {
         if let Err(err) = std::io::Read::read_to_string(&mut std::io::stdin(), &mut text) {
-            eprintln!("error: standard input: {err}");
+            eprintln!("error: cannot read standard input: {err}");
             return Err(exit::INVALID);
         }
     }
@@ -211,15 +212,15 @@
         Ok(text) => text,
         Err(code) => return code,
     };
-    let told = oatcove::summary::summarize(&text, window_s);
-    if told.is_empty() {
-        eprintln!("no line about a request in trouble");
+    let lines = oatcove::summary::summarize(&text, window_s);
+    if lines.is_empty() {
+        eprintln!("the logs report no problem with any request");
     }
-    print_lines(&told);
+    print_lines(&lines);
     0
 }
 
-/// Prints lines until whoever reads them has had enough, such as `head`.
+/// Prints lines until the reader, such as `head`, closes the pipe.
 fn print_lines(lines: &[String]) {
     let mut out = std::io::stdout().lock();
     let _closed = lines.iter().try_for_each(|line| writeln!(out, "{line}"));
@@ -230,14 +231,14 @@
         Ok(text) => text,
         Err(code) => return code,
     };
-    let story = oatcove::explain::explain(request, &text);
-    match story.is_empty() {
+    let timeline = oatcove::explain::explain(request, &text);
+    match timeline.is_empty() {
         true => {
-            eprintln!("no line about request {request}: it was answered in time, or its lines were dropped (look for lines_dropped)");
+            eprintln!("no log line about request {request}: it was answered in time, or its lines were dropped (look for lines_dropped events)");
             exit::INVALID
         }
         false => {
-            print_lines(&story);
+            print_lines(&timeline);
             0
         }
     }
@@ -274,14 +275,14 @@
         }
         Err(err) => {
             eprintln!("{}: {err}", file.display());
-            apply_exit(&err)
+            apply_exit_code(&err)
         }
     }
 }
 
 fn read(file: &PathBuf) -> Result<String, i32> {
     std::fs::read_to_string(file).map_err(|err| {
-        eprintln!("error: {}: {err}", file.display());
+        eprintln!("error: cannot read {}: {err}", file.display());
         exit::INVALID
     })
 }
@@ -302,7 +303,7 @@
                 records.push((row.version, record))
             }
             Ok(_) => {}
-            Err(err) => eprintln!("warning: audit row {} is unreadable: {err}", row.key),
+            Err(err) => eprintln!("warning: audit row {} cannot be decoded: {err}", row.key),
         }
     }
     records.sort_by_key(|(version, _)| *version);
@@ -344,11 +345,11 @@
         }
         Err(err) => {
             eprintln!("error: {err}");
-            return apply_exit(&err);
+            return apply_exit_code(&err);
         }
     }
     match wait && !lift {
-        true => wait_drained(store, upstream).await,
+        true => wait_until_drained(store, upstream).await,
         false => 0,
     }
 }
@@ -363,7 +364,7 @@
             return exit::UNAVAILABLE;
         }
     };
-    // An evacuation that names nothing would be taken for one that holds.
+    // An evacuation of a mistyped zone would look as if it were in force.
     if !lift && !vms.iter().any(|vm| vm.zone == zone) {
         eprintln!("error: the platform's VM list has no zone {zone:?}; nothing written");
         return exit::INVALID;
@@ -380,7 +381,7 @@
         }
         Err(err) => {
             eprintln!("error: {err}");
-            apply_exit(&err)
+            apply_exit_code(&err)
         }
     }
 }
@@ -398,7 +399,7 @@
         let lifted = match serde_json::from_str::<store::proto::Evacuation>(&row.value) {
             Ok(evacuation) => evacuation.lifted,
             Err(err) => {
-                eprintln!("warning: the row of zone {zone} is unreadable: {err}; it counts");
+                eprintln!("warning: the evacuation of zone {zone} cannot be decoded: {err}; entry nodes treat it as in force");
                 false
             }
         };
@@ -415,20 +416,20 @@
     0
 }
 
-async fn wait_drained(store: &store::Store, upstream: SocketAddr) -> i32 {
-    match oatcove::drain::wait(store, upstream).await {
-        Ok(took) => {
+async fn wait_until_drained(store: &store::Store, upstream: SocketAddr) -> i32 {
+    match oatcove::drain::wait_until_drained(store, upstream).await {
+        Ok(elapsed) => {
             println!(
                 "every entry node has {upstream} leaving with no call in flight after {} ms; it may stop",
-                took.as_millis()
+                elapsed.as_millis()
             );
             0
         }
-        Err(holding) => {
-            let nodes: Vec<String> = holding.iter().map(SocketAddr::to_string).collect();
+        Err(not_drained) => {
+            let nodes: Vec<String> = not_drained.iter().map(SocketAddr::to_string).collect();
             eprintln!(
-                "error: after {} s these entry nodes still hold calls to {upstream} or do not answer: {}",
-                oatcove::drain::WAIT.as_secs(),
+                "error: after {} s these entry nodes still have calls to {upstream} in flight or do not respond: {}",
+                oatcove::drain::DRAIN_TIMEOUT.as_secs(),
                 nodes.join(", ")
             );
             exit::UNAVAILABLE
@@ -436,7 +437,7 @@
     }
 }
 
-fn apply_exit(err: &oatcove::apply::ApplyError) -> i32 {
+fn apply_exit_code(err: &oatcove::apply::ApplyError) -> i32 {
     match err {
         oatcove::apply::ApplyError::Invalid(_) => exit::INVALID,
         oatcove::apply::ApplyError::Conflict(_) => exit::CONFLICT,
--- a/crates/oatcove/src/summary/tests.rs
+++ b/crates/oatcove/src/summary/tests.rs
@@ -12,7 +12,7 @@
 "#;
 
 #[test]
-fn trouble_is_told_by_time_and_route() {
+fn problems_are_counted_by_time_and_route() {
     assert_eq!(
         summarize(LOGS, 2),
         [
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn logs_without_trouble_give_nothing() {
+fn summary_of_logs_without_problems_is_empty() {
     assert!(summarize("", 2).is_empty());
     assert!(summarize("edge-1 {\"unix_ms\":1000,\"event\":\"started\"}\n{not json", 0).is_empty());
 }
--- a/crates/oatcoved/src/follow/history_tests.rs
+++ b/crates/oatcoved/src/follow/history_tests.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use local_sync::mpsc::unbounded;
-use oatcove::apply::{self, Applied, ApplyError, Patience};
+use oatcove::apply::{self, Applied, ApplyError, RetryConfig};
 use proptest::prelude::*;
 use store::proto;
 
@@ -63,7 +63,7 @@
 
 async fn operate(index: usize, platform: SocketAddr, history: Rc<RefCell<Vec<Apply>>>) {
     let store = store::Store::new(platform);
-    let patience = Patience { tries: 5, first_backoff: Duration::from_millis(5) };
+    let patience = RetryConfig { max_attempts: 5, initial_backoff: Duration::from_millis(5) };
     for nth in 0..APPLIES_EACH {
         let timeout_ms = (1_000 + index * 100 + nth) as u64;
         let began = Instant::now();
