--- a/crates/sim/src/crashes.rs
+++ b/crates/sim/src/crashes.rs
@@ -1,8 +1,9 @@
-//! Upstreams that crash under a request, or by themselves, against the decisions of `quarantine`.
+//! Simulation of upstreams that crash because of a request, or for other reasons, against the
+//! decisions of `quarantine`.
 //!
-//! Callers make popular requests and requests of their own; one of them may be a request that crashes
-//! each upstream that runs it. Upstreams also end by themselves, many at once. Entry nodes tell each
-//! other what they find, each other one after a while.
+//! Callers send popular requests and unique ones, and possibly a request that crashes each upstream
+//! that runs it. Upstreams also crash for other reasons, many at once. Entry nodes send their
+//! findings to each other, which takes some time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,154 +14,158 @@
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
 
-/// Time of day at which every run begins, in milliseconds.
-const BEGIN_UNIX_MS: u64 = 1_800_000_000_000;
+/// Wall clock time at which every run starts, in Unix milliseconds.
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 
-/// How often nodes look what they have to tell.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which nodes check for findings to be announced.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time after which all nodes must know of a request that has crashed three upstreams.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const MAX_DETECTION_TIME: Duration = Duration::from_secs(3);
 
-/// Sends of one attempt at most.
-const SENDS: u32 = 2;
+/// Maximum number of sends of one attempt.
+const MAX_SENDS: u32 = 2;
 
-/// Time after which a caller that was refused or failed makes its request again, once.
-const RETURN_AFTER: Duration = Duration::from_millis(200);
+/// Time after which a caller whose request was refused or failed retries it, once.
+const RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// A load pattern with crashes.
 #[derive(Clone, Debug)]
-pub struct Crashes {
-    /// Entry nodes.
+pub struct CrashScenario {
+    /// Number of entry nodes.
     pub nodes: usize,
-    /// Time until a node has heard what another found.
-    pub told_after: Duration,
-    /// Upstreams, and requests that each works on at once.
+    /// Time until a node has received what another found.
+    pub gossip_delay: Duration,
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Requests that an upstream works on at once.
-    pub slots: usize,
-    /// Mean time that an upstream works on a request.
-    pub work: Duration,
-    /// Requests a second.
-    pub per_s: f64,
-    /// Share of these that are one of so many popular ones; all others are made once.
+    /// Maximum number of requests that an upstream processes concurrently.
+    pub slots_per_upstream: usize,
+    /// Mean time that an upstream takes for a request.
+    pub mean_work: Duration,
+    /// Requests per second, without the one that crashes upstreams.
+    pub requests_per_s: f64,
+    /// Ratio of these that are one of the popular requests, and number of popular requests. All
+    /// others are unique.
     pub popular: (f64, usize),
-    /// Pause between two returns of the request that crashes upstreams; none where there is none.
-    pub crashing_every: Option<Duration>,
-    /// When upstreams end by themselves, and which share of them.
-    pub ends: Vec<(Duration, f64)>,
-    /// Time until an upstream is back.
-    pub back_after: Duration,
+    /// Mean interval of the request that crashes upstreams; `None` if there is no such request.
+    pub crashing_request_interval: Option<Duration>,
+    /// Times at which upstreams crash for other reasons, and the ratio of upstreams that do.
+    pub mass_crashes: Vec<(Duration, f64)>,
+    /// Time until a crashed upstream is up again.
+    pub restart_time: Duration,
     /// Whether a suspected request is sent to an upstream at which no other one runs.
-    pub apart: bool,
-    /// How long callers come.
-    pub length: Duration,
+    pub isolates_suspects: bool,
+    /// Time during which callers make requests.
+    pub duration: Duration,
 }
 
-impl Crashes {
-    /// A service at half of its room, one third of whose requests are one of ten, and a request that
-    /// crashes upstreams and comes five times a second.
-    pub fn usual() -> Crashes {
-        Crashes {
+impl CrashScenario {
+    /// Returns a service at half of its capacity, one third of whose requests are one of ten
+    /// popular ones, and a request that crashes upstreams and is made five times a second.
+    pub fn baseline() -> CrashScenario {
+        CrashScenario {
             nodes: 16,
-            told_after: Duration::from_millis(20),
+            gossip_delay: Duration::from_millis(20),
             upstreams: 16,
-            slots: 4,
-            work: Duration::from_millis(220),
-            per_s: 120.0,
+            slots_per_upstream: 4,
+            mean_work: Duration::from_millis(220),
+            requests_per_s: 120.0,
             popular: (0.33, 10),
-            crashing_every: Some(Duration::from_millis(200)),
-            ends: Vec::new(),
-            back_after: Duration::from_secs(3),
-            apart: true,
-            length: Duration::from_secs(30),
+            crashing_request_interval: Some(Duration::from_millis(200)),
+            mass_crashes: Vec::new(),
+            restart_time: Duration::from_secs(3),
+            isolates_suspects: true,
+            duration: Duration::from_secs(30),
         }
     }
 
-    /// Work of a second at upstreams of eight slots, and a request that crashes them twice a second:
-    /// each crash takes five others with it.
-    pub fn full_upstreams() -> Crashes {
-        Crashes {
-            work: Duration::from_secs(1),
-            slots: 8,
+    /// Returns a service whose requests take a second at upstreams of eight slots, and a request
+    /// that crashes upstreams and is made twice a second: with each crash five other requests are
+    /// lost.
+    pub fn full_upstreams() -> CrashScenario {
+        CrashScenario {
+            mean_work: Duration::from_secs(1),
+            slots_per_upstream: 8,
             upstreams: 12,
-            per_s: 60.0,
+            requests_per_s: 60.0,
             popular: (0.0, 1),
-            crashing_every: Some(Duration::from_millis(500)),
-            ..Crashes::usual()
+            crashing_request_interval: Some(Duration::from_millis(500)),
+            ..CrashScenario::baseline()
         }
     }
 
-    /// Work of two seconds at upstreams of two slots, of which a third end at once, twice within the
-    /// time of one request; one popular request.
-    pub fn long_work() -> Crashes {
-        Crashes {
-            work: Duration::from_secs(2),
-            slots: 2,
-            per_s: 8.0,
+    /// Returns a service whose requests, half of them the same popular one, take two seconds at
+    /// upstreams of two slots. A third of the upstreams crash at once, and again within the time of
+    /// one request.
+    pub fn long_work() -> CrashScenario {
+        CrashScenario {
+            mean_work: Duration::from_secs(2),
+            slots_per_upstream: 2,
+            requests_per_s: 8.0,
             popular: (0.5, 1),
-            crashing_every: None,
-            ends: vec![(Duration::from_secs(10), 0.33), (Duration::from_secs(11), 0.33)],
-            ..Crashes::usual()
+            crashing_request_interval: None,
+            mass_crashes: vec![(Duration::from_secs(10), 0.33), (Duration::from_secs(11), 0.33)],
+            ..CrashScenario::baseline()
         }
     }
 }
 
-/// What came of a run.
+/// Counts of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CrashReport {
-    /// Upstreams that crashed under the request that does that.
+    /// Upstreams crashed by the request that does so.
     pub crashed: u32,
-    /// Upstreams that it reached later than [`KNOWN_WITHIN`] after it had crashed the third.
-    pub reached_late: u32,
-    /// Times that it was made.
-    pub crashing_asked: u32,
-    /// Other requests made, and how the last attempt of each ended.
-    pub asked: u32,
+    /// Sends of that request later than 3 s after it had crashed the third upstream, when all nodes
+    /// must know of it.
+    pub late_sends: u32,
+    /// Requests made that crash upstreams.
+    pub crashing_requests: u32,
+    /// Other requests made. The counts below are of the results of their last attempts.
+    pub requests: u32,
     /// Answered.
     pub served: u32,
-    /// Refused since it was held to crash upstreams, which is not so.
-    pub refused_wrongly: u32,
-    /// Lost with an upstream, or without one that had room.
+    /// Refused because they were wrongly found to crash upstreams.
+    pub wrongly_refused: u32,
+    /// Lost in a crash, or not sent because no upstream had a free slot.
     pub failed: u32,
 }
 
 impl CrashReport {
-    /// Adds what came of another run.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: &CrashReport) {
         self.crashed += other.crashed;
-        self.reached_late += other.reached_late;
-        self.crashing_asked += other.crashing_asked;
-        self.asked += other.asked;
+        self.late_sends += other.late_sends;
+        self.crashing_requests += other.crashing_requests;
+        self.requests += other.requests;
         self.served += other.served;
-        self.refused_wrongly += other.refused_wrongly;
+        self.wrongly_refused += other.wrongly_refused;
         self.failed += other.failed;
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A request comes to a node; whether its caller makes it again.
-    Asked {
+    /// A node receives a request, which its caller may retry if `may_retry` is set.
+    RequestReceived {
         request: usize,
-        returns: bool,
+        may_retry: bool,
     },
-    /// An upstream has ended its work on a request.
-    Worked {
+    /// An upstream has finished its work on a request, unless it has crashed meanwhile.
+    WorkDone {
         upstream: usize,
-        life: u64,
+        restarts: u64,
         request: usize,
     },
-    /// Upstreams end by themselves.
-    End {
-        entry: usize,
+    /// Upstreams crash for a reason other than a request.
+    MassCrash {
+        index: usize,
     },
-    /// One is back.
-    Back {
+    /// A crashed upstream is up again.
+    Restarted {
         upstream: usize,
     },
-    /// A node hears of what another found.
-    Heard {
+    /// A node receives a finding of another.
+    FindingReceived {
         finding: usize,
         node: usize,
     },
@@ -171,262 +176,288 @@
     content: ContentKey,
     crashes: bool,
     sends: u32,
-    returns: bool,
+    may_retry: bool,
     node: usize,
 }
 
 struct Running {
     request: usize,
-    known: FindingVersion,
+    version: FindingVersion,
     is_suspected: bool,
 }
 
 #[derive(Default)]
 struct Upstream {
     is_up: bool,
-    life: u64,
+    restarts: u64,
     running: Vec<Running>,
 }
 
-struct World<'a> {
-    pattern: &'a Crashes,
+struct Simulation<'a> {
+    scenario: &'a CrashScenario,
     rng: SmallRng,
-    ledgers: Vec<Quarantine>,
+    quarantines: Vec<Quarantine>,
     upstreams: Vec<Upstream>,
     requests: Vec<Request>,
     findings: Vec<Finding>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    order: u64,
-    /// When the third upstream crashed under the request that does that.
-    third_at: Option<Duration>,
+    /// Number of events scheduled so far; events of the same time are handled in this order.
+    sequence: u64,
+    /// When the request that crashes upstreams had crashed the third one.
+    third_crash_at: Option<Duration>,
     report: CrashReport,
 }
 
-/// Plays `pattern`; the same seed gives the same callers and ends.
-pub fn run_crashes(pattern: &Crashes, seed: u64) -> CrashReport {
-    let up = || Upstream { is_up: true, ..Upstream::default() };
-    let mut world = World {
-        pattern,
+/// Runs `scenario` and returns the counts. The same scenario and seed give the same callers and
+/// crashes.
+pub fn run_crashes(scenario: &CrashScenario, seed: u64) -> CrashReport {
+    let new_upstream = || Upstream { is_up: true, ..Upstream::default() };
+    let mut simulation = Simulation {
+        scenario,
         rng: SmallRng::seed_from_u64(seed),
-        ledgers: vec![Quarantine::default(); pattern.nodes],
-        upstreams: (0..pattern.upstreams).map(|_| up()).collect(),
+        quarantines: vec![Quarantine::default(); scenario.nodes],
+        upstreams: (0..scenario.upstreams).map(|_| new_upstream()).collect(),
         requests: Vec::new(),
         findings: Vec::new(),
         events: BinaryHeap::new(),
-        order: 0,
-        third_at: None,
+        sequence: 0,
+        third_crash_at: None,
         report: CrashReport::default(),
     };
-    world.draw();
-    while let Some(Reverse((now, _, event))) = world.events.pop() {
-        world.happens(event, now);
+    simulation.schedule_events();
+    while let Some(Reverse((now, _, event))) = simulation.events.pop() {
+        simulation.handle_event(event, now);
     }
-    world.report
+    simulation.report
 }
 
 fn unix_ms(now: Duration) -> u64 {
-    BEGIN_UNIX_MS + now.as_millis() as u64
+    START_UNIX_MS + now.as_millis() as u64
 }
 
-impl World<'_> {
-    fn at(&mut self, at: Duration, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at, self.order, event)));
+impl Simulation<'_> {
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    /// Draws all callers and ends.
-    fn draw(&mut self) {
-        let (share, popular) = self.pattern.popular;
+    /// Schedules all requests, mass crashes and ticks.
+    fn schedule_events(&mut self) {
+        let (popular_ratio, popular_count) = self.scenario.popular;
         let mut at = Duration::ZERO;
-        while at < self.pattern.length {
+        while at < self.scenario.duration {
             at += Duration::from_secs_f64(
-                -self.rng.random_range(f64::MIN_POSITIVE..1.0f64).ln() / self.pattern.per_s,
+                -self.rng.random_range(f64::MIN_POSITIVE..1.0f64).ln()
+                    / self.scenario.requests_per_s,
             );
-            let name = match self.rng.random_bool(share) {
-                true => format!("popular {}", self.rng.random_range(0..popular)),
+            let name = match self.rng.random_bool(popular_ratio) {
+                true => format!("popular {}", self.rng.random_range(0..popular_count)),
                 false => format!("own {}", self.requests.len()),
             };
-            self.ask(at, &name, false);
-            self.report.asked += 1;
+            self.schedule_request(at, &name, false);
+            self.report.requests += 1;
         }
-        let mut at = self.pattern.length / 10;
-        while let Some(pause) = self.pattern.crashing_every.filter(|_| at < self.pattern.length) {
-            self.ask(at, "crashing", true);
-            self.report.crashing_asked += 1;
-            at += pause.mul_f64(self.rng.random_range(0.5..1.5));
+        let mut at = self.scenario.duration / 10;
+        while let Some(interval) =
+            self.scenario.crashing_request_interval.filter(|_| at < self.scenario.duration)
+        {
+            self.schedule_request(at, "crashing", true);
+            self.report.crashing_requests += 1;
+            at += interval.mul_f64(self.rng.random_range(0.5..1.5));
         }
-        for entry in 0..self.pattern.ends.len() {
-            self.at(self.pattern.ends[entry].0, Event::End { entry });
+        for index in 0..self.scenario.mass_crashes.len() {
+            self.schedule(self.scenario.mass_crashes[index].0, Event::MassCrash { index });
         }
         let mut at = Duration::ZERO;
-        while at < self.pattern.length {
-            self.at(at, Event::Tick);
-            at += TICK;
+        while at < self.scenario.duration {
+            self.schedule(at, Event::Tick);
+            at += TICK_INTERVAL;
         }
     }
 
-    fn ask(&mut self, at: Duration, name: &str, crashes: bool) {
+    fn schedule_request(&mut self, at: Duration, name: &str, crashes: bool) {
         let content = ContentKey::of([name.as_bytes()]);
-        let request = Request { content, crashes, sends: 0, returns: true, node: 0 };
+        let request = Request { content, crashes, sends: 0, may_retry: true, node: 0 };
         self.requests.push(request);
         let request = self.requests.len() - 1;
-        self.at(at, Event::Asked { request, returns: true });
+        self.schedule(at, Event::RequestReceived { request, may_retry: true });
     }
 
-    fn happens(&mut self, event: Event, now: Duration) {
+    fn handle_event(&mut self, event: Event, now: Duration) {
         match event {
-            Event::Asked { request, returns } => {
-                let node = self.rng.random_range(0..self.pattern.nodes);
-                let asked = &mut self.requests[request];
-                (asked.node, asked.returns, asked.sends) = (node, returns, 0);
+            Event::RequestReceived { request, may_retry } => {
+                let node = self.rng.random_range(0..self.scenario.nodes);
+                let received = &mut self.requests[request];
+                (received.node, received.may_retry, received.sends) = (node, may_retry, 0);
                 self.send(request, now);
             }
-            Event::Worked { upstream, life, request } => self.worked(upstream, life, request, now),
-            Event::End { entry } => {
-                let share = self.pattern.ends[entry].1;
-                let count = (share * self.pattern.upstreams as f64).round() as usize;
-                let up = (0..self.upstreams.len()).filter(|index| self.upstreams[*index].is_up);
-                let ended = up.choose_multiple(&mut self.rng, count);
-                self.end(&ended, now);
+            Event::WorkDone { upstream, restarts, request } => {
+                self.finish_work(upstream, restarts, request, now)
             }
-            Event::Back { upstream } => self.upstreams[upstream].is_up = true,
-            Event::Heard { finding, node } => {
-                let heard = self.findings[finding].clone();
-                let _ = self.ledgers[node].merge_remote(&heard, unix_ms(now));
-                // Peers that hear it pass it on; here all hear it from the one that found it.
-                let is_own = |news: &NewFinding| {
-                    news.finding.content != heard.content || news.finding.epoch > heard.epoch
+            Event::MassCrash { index } => {
+                let ratio = self.scenario.mass_crashes[index].1;
+                let count = (ratio * self.scenario.upstreams as f64).round() as usize;
+                let up =
+                    (0..self.upstreams.len()).filter(|upstream| self.upstreams[*upstream].is_up);
+                let crashed = up.choose_multiple(&mut self.rng, count);
+                self.crash(&crashed, now);
+            }
+            Event::Restarted { upstream } => self.upstreams[upstream].is_up = true,
+            Event::FindingReceived { finding, node } => {
+                let received = self.findings[finding].clone();
+                let _ = self.quarantines[node].merge_remote(&received, unix_ms(now));
+                // Real nodes forward a received finding; here the node that found it sends it to
+                // all others.
+                let is_own = |new: &NewFinding| {
+                    new.finding.content != received.content || new.finding.epoch > received.epoch
                 };
-                let news = self.ledgers[node].take_new_findings(unix_ms(now));
-                news.into_iter().filter(is_own).for_each(|news| self.spread(node, news, now));
+                let new_findings = self.quarantines[node].take_new_findings(unix_ms(now));
+                new_findings
+                    .into_iter()
+                    .filter(is_own)
+                    .for_each(|new| self.broadcast(node, new, now));
+            }
+            Event::Tick => {
+                (0..self.scenario.nodes).for_each(|node| self.broadcast_findings(node, now))
             }
-            Event::Tick => (0..self.pattern.nodes).for_each(|node| self.tell(node, now)),
         }
     }
 
-    /// Has a node tell all others what is news.
-    fn tell(&mut self, node: usize, now: Duration) {
-        for news in self.ledgers[node].take_new_findings(unix_ms(now)) {
-            self.spread(node, news, now);
+    /// Sends all new findings of `node` to all other nodes.
+    fn broadcast_findings(&mut self, node: usize, now: Duration) {
+        for new in self.quarantines[node].take_new_findings(unix_ms(now)) {
+            self.broadcast(node, new, now);
         }
     }
 
-    /// Has all nodes but `node` hear what is news.
-    fn spread(&mut self, node: usize, news: NewFinding, now: Duration) {
-        self.findings.push(news.finding);
+    /// Sends one finding to all nodes but `node`.
+    fn broadcast(&mut self, node: usize, new: NewFinding, now: Duration) {
+        self.findings.push(new.finding);
         let finding = self.findings.len() - 1;
-        for other in (0..self.pattern.nodes).filter(|other| *other != node) {
-            self.at(now + self.pattern.told_after, Event::Heard { finding, node: other });
+        for other in (0..self.scenario.nodes).filter(|other| *other != node) {
+            self.schedule(
+                now + self.scenario.gossip_delay,
+                Event::FindingReceived { finding, node: other },
+            );
         }
     }
 
     fn send(&mut self, index: usize, now: Duration) {
         let Request { content, node, .. } = self.requests[index];
-        let verdict = self.ledgers[node].decide(content, || node == 0, unix_ms(now));
-        if matches!(verdict, Decision::Reject(_)) {
-            return self.lost(index, true, now);
+        let decision = self.quarantines[node].decide(content, || node == 0, unix_ms(now));
+        if matches!(decision, Decision::Reject(_)) {
+            return self.fail_attempt(index, true, now);
         }
-        let is_suspected = verdict == Decision::Isolate;
-        let Some(upstream) = self.choose(index, is_suspected) else {
-            return self.lost(index, false, now);
+        let is_suspected = decision == Decision::Isolate;
+        let Some(upstream) = self.choose_upstream(index, is_suspected) else {
+            return self.fail_attempt(index, false, now);
         };
         self.requests[index].sends += 1;
-        let is_late = self.third_at.is_some_and(|third_at| now > third_at + KNOWN_WITHIN);
-        self.report.reached_late += u32::from(self.requests[index].crashes && is_late);
+        let is_late =
+            self.third_crash_at.is_some_and(|third_at| now > third_at + MAX_DETECTION_TIME);
+        self.report.late_sends += u32::from(self.requests[index].crashes && is_late);
         let start = self.start_of(upstream);
-        let known = self.ledgers[node].version(content);
+        let version = self.quarantines[node].version(content);
         if is_suspected {
-            self.ledgers[node].begin_attempt(content, start);
+            self.quarantines[node].begin_attempt(content, start);
         }
-        self.upstreams[upstream].running.push(Running { request: index, known, is_suspected });
-        let takes = self.pattern.work.mul_f64(self.rng.random_range(0.5..1.5));
-        let life = self.upstreams[upstream].life;
-        self.at(now + takes, Event::Worked { upstream, life, request: index });
+        self.upstreams[upstream].running.push(Running { request: index, version, is_suspected });
+        let work = self.scenario.mean_work.mul_f64(self.rng.random_range(0.5..1.5));
+        let restarts = self.upstreams[upstream].restarts;
+        self.schedule(now + work, Event::WorkDone { upstream, restarts, request: index });
     }
 
+    /// Returns the current incarnation of an upstream.
     fn start_of(&self, upstream: usize) -> Start {
-        Start::of(&format!("u{upstream}"), self.upstreams[upstream].life)
+        Start::of(&format!("u{upstream}"), self.upstreams[upstream].restarts)
     }
 
-    /// Returns an upstream with room; for a suspected request one apart from others.
-    fn choose(&mut self, index: usize, is_suspected: bool) -> Option<usize> {
+    /// Returns an upstream with a free slot, for a suspected request preferably an isolated one.
+    fn choose_upstream(&mut self, index: usize, is_suspected: bool) -> Option<usize> {
         let Request { content, node, .. } = self.requests[index];
-        let has_room = |u: &Upstream| u.is_up && u.running.len() < self.pattern.slots;
-        let free = (0..self.upstreams.len()).filter(|u| has_room(&self.upstreams[*u]));
-        if is_suspected && self.pattern.apart {
+        let has_free_slot =
+            |u: &Upstream| u.is_up && u.running.len() < self.scenario.slots_per_upstream;
+        let free = (0..self.upstreams.len()).filter(|u| has_free_slot(&self.upstreams[*u]));
+        if is_suspected && self.scenario.isolates_suspects {
             let starts: Vec<Start> =
                 (0..self.upstreams.len()).map(|upstream| self.start_of(upstream)).collect();
-            let apart = self.ledgers[node].choose_isolated(content, &starts, free.clone());
-            if apart.is_some() {
-                return apart;
+            let isolated = self.quarantines[node].choose_isolated(content, &starts, free.clone());
+            if isolated.is_some() {
+                return isolated;
             }
         }
         free.choose(&mut self.rng)
     }
 
-    fn worked(&mut self, upstream: usize, life: u64, index: usize, now: Duration) {
-        if self.upstreams[upstream].life != life {
+    fn finish_work(&mut self, upstream: usize, restarts: u64, index: usize, now: Duration) {
+        if self.upstreams[upstream].restarts != restarts {
             return;
         }
         if self.requests[index].crashes {
             self.report.crashed += 1;
             if self.report.crashed == 3 {
-                self.third_at = Some(now);
+                self.third_crash_at = Some(now);
             }
-            return self.end(&[upstream], now);
+            return self.crash(&[upstream], now);
         }
         let start = self.start_of(upstream);
         let running = &mut self.upstreams[upstream].running;
-        let Some(place) = running.iter().position(|r| r.request == index) else { return };
-        let Running { is_suspected, .. } = running.swap_remove(place);
+        let Some(position) = running.iter().position(|r| r.request == index) else { return };
+        let Running { is_suspected, .. } = running.swap_remove(position);
         let Request { content, node, .. } = self.requests[index];
-        let ledger = &mut self.ledgers[node];
+        let quarantine = &mut self.quarantines[node];
         if is_suspected {
-            ledger.end_attempt(content, start);
+            quarantine.end_attempt(content, start);
         }
-        ledger.record_response(content, unix_ms(now));
+        quarantine.record_response(content, unix_ms(now));
         self.report.served += 1;
-        self.tell(node, now);
+        self.broadcast_findings(node, now);
     }
 
-    /// Ends upstreams, all at once, with what runs there.
-    fn end(&mut self, upstreams: &[usize], now: Duration) {
+    /// Crashes `upstreams` at once, with all requests that run there.
+    fn crash(&mut self, upstreams: &[usize], now: Duration) {
         let mut lost = Vec::new();
         for upstream in upstreams {
             let start = self.start_of(*upstream);
-            let ended = &mut self.upstreams[*upstream];
-            lost.extend(std::mem::take(&mut ended.running).into_iter().map(|run| (start, run)));
-            ended.is_up = false;
-            ended.life += 1;
-            self.at(now + self.pattern.back_after, Event::Back { upstream: *upstream });
+            let crashed = &mut self.upstreams[*upstream];
+            lost.extend(std::mem::take(&mut crashed.running).into_iter().map(|run| (start, run)));
+            crashed.is_up = false;
+            crashed.restarts += 1;
+            self.schedule(
+                now + self.scenario.restart_time,
+                Event::Restarted { upstream: *upstream },
+            );
         }
-        for (start, Running { request, known, is_suspected }) in &lost {
+        for (start, Running { request, version, is_suspected }) in &lost {
             let Request { content, node, .. } = self.requests[*request];
-            let ledger = &mut self.ledgers[node];
+            let quarantine = &mut self.quarantines[node];
             if *is_suspected {
-                ledger.end_attempt(content, *start);
+                quarantine.end_attempt(content, *start);
             }
-            ledger.record_crash(content, *known, *start, unix_ms(now));
-            self.tell(node, now);
+            quarantine.record_crash(content, *version, *start, unix_ms(now));
+            self.broadcast_findings(node, now);
         }
         for (_, Running { request, .. }) in lost {
             let Request { content, node, sends, .. } = self.requests[request];
-            match sends < SENDS && !self.ledgers[node].has_repeated_crashes(content) {
+            match sends < MAX_SENDS && !self.quarantines[node].has_repeated_crashes(content) {
                 true => self.send(request, now),
-                false => self.lost(request, false, now),
+                false => self.fail_attempt(request, false, now),
             }
         }
     }
 
-    /// Ends an attempt without an answer; its caller may make the request again.
-    fn lost(&mut self, index: usize, is_refused: bool, now: Duration) {
-        let Request { returns, crashes, .. } = self.requests[index];
+    /// Ends an attempt without a response; its caller may retry the request.
+    fn fail_attempt(&mut self, index: usize, is_refused: bool, now: Duration) {
+        let Request { may_retry, crashes, .. } = self.requests[index];
         match () {
-            () if returns => {
-                self.at(now + RETURN_AFTER, Event::Asked { request: index, returns: false });
+            () if may_retry => {
+                self.schedule(
+                    now + RETRY_AFTER,
+                    Event::RequestReceived { request: index, may_retry: false },
+                );
             }
             () if crashes => {}
-            () if is_refused => self.report.refused_wrongly += 1,
+            () if is_refused => self.report.wrongly_refused += 1,
             () => self.report.failed += 1,
         }
     }
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -1,4 +1,4 @@
-//! A simulated entry node: the product's decisions, with what they have learned.
+//! A simulated entry node: the product's placement and admission code with its learned state.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,37 +9,38 @@
 use rand::rngs::SmallRng;
 use smol_str::{format_smolstr, SmolStr};
 
-use crate::scenario::{Kind, Rules, Scenario};
+use crate::scenario::{CallKind, Rules, Scenario};
 use crate::upstream::Upstream;
 
-/// Upstreams asked at once.
-const ASK_AT_ONCE: usize = 3;
+/// Maximum number of upstreams probed in one round.
+const MAX_PROBES_PER_ROUND: usize = 3;
 
 pub(crate) fn zone_name(zone: usize) -> SmolStr {
     format_smolstr!("z{zone}")
 }
 
-/// Returns the start of the upstream with this number.
+/// Returns the incarnation of the upstream with this index.
 pub(crate) fn incarnation(upstream: usize) -> Incarnation {
     Incarnation { id: format_smolstr!("u{upstream}"), born_ms: 1 }
 }
 
-/// What a node knows of a request that it has to place.
-pub(crate) struct Placing<'a> {
-    pub(crate) kind: &'a Kind,
+/// A request to be placed, as far as the node knows it.
+pub(crate) struct PlacementRequest<'a> {
+    pub(crate) kind: &'a CallKind,
     pub(crate) deadline_left: Duration,
     pub(crate) objective_left: Duration,
-    pub(crate) looks: u32,
+    pub(crate) rechecks: u32,
 }
 
-/// What becomes of a request next.
+/// What a node does next with a request.
 pub(crate) enum Step {
-    /// These upstreams are asked first.
-    Ask(Vec<usize>),
-    /// It is sent; told is also whether the upstream was at its best.
+    /// Probes these upstreams for their load.
+    Probe(Vec<usize>),
+    /// Sends it. `measures_work` tells whether nothing is known to slow the upstream, so that the
+    /// latency is a sample of the request's work.
     Send {
         upstream: usize,
-        unhindered: bool,
+        measures_work: bool,
     },
     Wait(Duration),
     Refuse {
@@ -50,16 +51,16 @@
 pub(crate) struct Node {
     pub(crate) zone: usize,
     pools: Vec<Pool>,
-    works: place::WorkEstimates,
-    attempts: place::RetryDetector,
+    work_estimates: place::WorkEstimates,
+    retry_detector: place::RetryDetector,
     rng: SmallRng,
 }
 
 impl Node {
-    /// Creates a node that has the list of upstreams, and has heard of none.
+    /// Creates a node that has the list of upstreams, but no load report of any.
     pub(crate) fn new(
         zone: usize,
-        number: u64,
+        node_seed: u64,
         scenario: &Scenario,
         upstreams: &[Upstream],
         rng: SmallRng,
@@ -71,79 +72,85 @@
             service: "service".into(),
             addr: SocketAddr::from(([10, 0, 0, 1], 80)),
             zone: zone_name(upstream.zone),
-            slots: scenario.slots,
+            slots: scenario.slots_per_upstream,
             leaving: false,
             cold_for: Duration::ZERO,
         };
-        let mut pools = vec![Pool::with_node_seed(number); scenario.kinds.len()];
+        let mut pools = vec![Pool::with_node_seed(node_seed); scenario.kinds.len()];
         for (index, upstream) in upstreams.iter().enumerate() {
-            pools[index / scenario.upstreams].put(&entry((index, upstream)), now);
+            pools[index / scenario.upstreams_per_kind].put(&entry((index, upstream)), now);
         }
-        let (works, attempts) = Default::default();
-        Node { zone, pools, works, attempts, rng }
+        let (work_estimates, retry_detector) = Default::default();
+        Node { zone, pools, work_estimates, retry_detector, rng }
     }
 
-    /// Returns how long the caller of a request has been trying.
-    pub(crate) fn tried_for(&mut self, kind: &Kind, stated: Duration, rules: &Rules) -> Duration {
-        let tried_for = self.attempts.retrying_for(&kind.name, stated);
-        if rules.counts_from_first_attempt {
-            tried_for
+    /// Returns for how long the caller of a request has been retrying, or zero if the objective
+    /// does not count from the first attempt. `stated` is the time that the caller will wait.
+    pub(crate) fn retrying_for(
+        &mut self,
+        kind: &CallKind,
+        stated: Duration,
+        rules: &Rules,
+    ) -> Duration {
+        let retrying_for = self.retry_detector.retrying_for(&kind.name, stated);
+        if rules.objective_from_first_attempt {
+            retrying_for
         } else {
             Duration::ZERO
         }
     }
 
-    /// Decides what becomes of a request of the kind with index `kind`; `may_ask` tells whether
-    /// upstreams may be asked first.
+    /// Decides what to do next with a request of the kind with index `kind`. `may_probe` tells
+    /// whether upstreams may be probed first.
     pub(crate) fn step(
         &mut self,
         kind: usize,
-        placing: &Placing<'_>,
-        may_ask: bool,
+        request: &PlacementRequest<'_>,
+        may_probe: bool,
         rules: &Rules,
         now: Instant,
     ) -> Step {
-        let name = &placing.kind.name;
+        let name = &request.kind.name;
         let zone = zone_name(self.zone);
-        let ask = SelectionCriteria {
+        let criteria = SelectionCriteria {
             policy: rules.policy,
-            work: self.works.work(name, placing.kind.objective),
-            objective_left: placing.objective_left,
+            work: self.work_estimates.work(name, request.kind.objective),
+            objective_left: request.objective_left,
             zone: &zone,
-            cross_zone_cost: rules.cross_zone_cost_per_kib * self.works.size_kib(name),
+            cross_zone_cost: rules.cross_zone_cost_per_kib * self.work_estimates.size_kib(name),
             allowed_zones: None,
             warm_up: None,
             tried: &[],
             repeatable: true,
         };
         let pool = &self.pools[kind];
-        let ranked = pool.rank(ask, |_| ConnectionPlan::Reuse, now, &mut self.rng);
-        let asked = pool.probe_targets(&ranked, ASK_AT_ONCE, 0);
-        let number = |index: usize| number_of(&pool.upstreams()[index].incarnation);
-        if may_ask && rules.policy == place::Policy::Reports && !asked.is_empty() {
-            return Step::Ask(asked.into_iter().map(number).collect());
+        let ranked = pool.rank(criteria, |_| ConnectionPlan::Reuse, now, &mut self.rng);
+        let probe_targets = pool.probe_targets(&ranked, MAX_PROBES_PER_ROUND, 0);
+        let upstream_at = |index: usize| upstream_index(&pool.upstreams()[index].incarnation);
+        if may_probe && rules.policy == place::Policy::Reports && !probe_targets.is_empty() {
+            return Step::Probe(probe_targets.into_iter().map(upstream_at).collect());
         }
         let best = &ranked[0];
-        let room = AdmissionRequest {
-            deadline_left: placing.deadline_left,
+        let admission = AdmissionRequest {
+            deadline_left: request.deadline_left,
             objective_left: match rules.refuses_late {
-                true => placing.objective_left,
-                false => placing.deadline_left,
+                true => request.objective_left,
+                false => request.deadline_left,
             },
             most_urgent: true,
-            rechecks: rules.waits.then_some(placing.looks),
+            rechecks: rules.waits_at_node.then_some(request.rechecks),
         };
-        match place::admit(best, room, &mut self.rng) {
+        match place::admit(best, admission, &mut self.rng) {
             Decision::Wait(pause) => Step::Wait(pause),
             Decision::Refuse { retry_after } => Step::Refuse { retry_after },
             Decision::Send => Step::Send {
-                upstream: number(best.index),
-                unhindered: is_unhindered(pool, best, rules, now),
+                upstream: upstream_at(best.index),
+                measures_work: measures_work(pool, best, rules, now),
             },
         }
     }
 
-    pub(crate) fn take_report(
+    pub(crate) fn record_report(
         &mut self,
         kind: usize,
         upstream: usize,
@@ -153,37 +160,42 @@
         self.pools[kind].record_report(&incarnation(upstream), Some(load), now);
     }
 
-    pub(crate) fn sent(&mut self, kind: usize, upstream: usize) {
+    pub(crate) fn record_sent(&mut self, kind: usize, upstream: usize) {
         self.pools[kind].record_sent(&incarnation(upstream));
     }
 
-    pub(crate) fn ended(
+    pub(crate) fn record_outcome(
         &mut self,
         kind: usize,
         upstream: usize,
-        end: place::RequestOutcome,
+        outcome: place::RequestOutcome,
         now: Instant,
     ) {
-        self.pools[kind].record_outcome(&incarnation(upstream), end, now);
+        self.pools[kind].record_outcome(&incarnation(upstream), outcome, now);
     }
 
-    /// Takes what an answer tells of the work.
-    pub(crate) fn learn(&mut self, kind: &Kind, took: Duration, unhindered: bool) {
-        self.works.record_size(&kind.name, kind.answer_bytes);
-        if unhindered {
-            self.works.record_work(&kind.name, kind.objective, took);
+    /// Updates the estimates of size and, if the latency measures it, work.
+    pub(crate) fn record_response(
+        &mut self,
+        kind: &CallKind,
+        latency: Duration,
+        measures_work: bool,
+    ) {
+        self.work_estimates.record_size(&kind.name, kind.response_bytes);
+        if measures_work {
+            self.work_estimates.record_work(&kind.name, kind.objective, latency);
         }
     }
 }
 
-fn is_unhindered(pool: &Pool, best: &Candidate, rules: &Rules, now: Instant) -> bool {
+fn measures_work(pool: &Pool, best: &Candidate, rules: &Rules, now: Instant) -> bool {
     let report = pool.upstreams()[best.index].report(now);
-    let at_its_best =
+    let reports_no_delay =
         report.is_some_and(|(load, _)| load.is_at_usual_speed() && load.has_free_slot());
-    let uncrowded = !best.prediction.nearly_full || !rules.learns_uncrowded;
-    best.has_fresh_report && uncrowded && at_its_best
+    let has_valid_utilization = !best.prediction.nearly_full || !rules.skips_nearly_full_samples;
+    best.has_fresh_report && has_valid_utilization && reports_no_delay
 }
 
-fn number_of(incarnation: &Incarnation) -> usize {
-    incarnation.id[1..].parse().expect("ids end with a number")
+fn upstream_index(incarnation: &Incarnation) -> usize {
+    incarnation.id[1..].parse().expect("upstream id should end with its index")
 }
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -1,152 +1,162 @@
-//! What is simulated, and which decisions are made.
+//! Settings of a run: what is simulated, and which decision rules the nodes apply.
 
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-/// Machines that are shared with others.
+/// Slowdowns of machines that are shared with other VMs.
 #[derive(Clone, Copy, Debug)]
 pub struct Noise {
-    /// Share of the time in which a machine is slow.
-    pub share: f64,
-    /// How much longer work takes then.
-    pub factor: f64,
-    /// How often that changes.
-    pub every: Duration,
+    /// Ratio of the time in which a machine is slow.
+    pub slow_ratio: f64,
+    /// Factor by which work takes longer on a slow machine.
+    pub slowdown: f64,
+    /// Interval at which a machine may become slow or recover.
+    pub change_interval: Duration,
 }
 
-/// Callers that come at once.
+/// A temporary increase of the request rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Burst {
-    /// When they begin to come.
-    pub from: Duration,
-    /// When no more of them come.
-    pub until: Duration,
-    /// How many times more there are than before.
-    pub factor: f64,
+    /// Start, relative to the start of the run.
+    pub start: Duration,
+    /// End, relative to the start of the run.
+    pub end: Duration,
+    /// Factor by which the request rate is higher than otherwise.
+    pub rate_factor: f64,
 }
 
 /// One kind of request, with a service of its own.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct CallKind {
     /// Name.
     pub name: SmolStr,
-    /// Requests per second of all callers together, outside bursts.
-    pub per_s: f64,
-    /// Work at a machine that is not slowed: its mean.
-    pub work: Duration,
-    /// Time within which an answer is worth most.
+    /// Requests per second of all callers together, outside of bursts.
+    pub requests_per_s: f64,
+    /// Mean time that the request takes on a machine that is not slowed.
+    pub mean_work: Duration,
+    /// Latency objective: a response that takes longer is worth less.
     pub objective: Duration,
-    /// Time that a caller waits at most; each waits up to a sixth less.
-    pub deadline: Duration,
-    /// Size of an answer, in bytes.
-    pub answer_bytes: usize,
+    /// Longest time that a caller waits, over all of its attempts; each waits up to a sixth less.
+    pub max_timeout: Duration,
+    /// Size of a response in bytes.
+    pub response_bytes: usize,
 }
 
 /// A load pattern.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its kinds of request, of which each has all `upstreams` for itself.
-    pub kinds: Vec<Kind>,
-    /// Availability zones; upstreams, nodes and callers are spread over them evenly.
+    /// Kinds of requests; the upstreams of each serve no other.
+    pub kinds: Vec<CallKind>,
+    /// Number of availability zones; upstreams, nodes and callers are spread evenly over them.
     pub zones: usize,
-    /// Entry nodes.
+    /// Number of entry nodes.
     pub nodes: usize,
-    /// Upstreams of each kind.
-    pub upstreams: usize,
-    /// Requests that an upstream works on at once.
-    pub slots: u32,
-    /// Requests that wait at an upstream at most; it refuses more.
-    pub queue: usize,
-    /// How much longer work takes at an upstream that has over four fifths of its slots in use.
-    pub crowded_factor: f64,
-    /// How the machines are shared.
+    /// Number of upstreams of each kind of request.
+    pub upstreams_per_kind: usize,
+    /// Maximum number of requests that an upstream processes concurrently.
+    pub slots_per_upstream: u32,
+    /// Maximum number of requests queued at an upstream, which refuses further ones.
+    pub max_queued: usize,
+    /// Factor by which work takes longer at an upstream that has over four fifths of its slots in
+    /// use.
+    pub nearly_full_slowdown: f64,
+    /// Slowdowns of the machines.
     pub noise: Noise,
-    /// Callers that come at once.
+    /// Burst of requests, if any.
     pub burst: Option<Burst>,
-    /// How often a caller that was refused comes back.
-    pub returns: u32,
-    /// How long callers come.
-    pub length: Duration,
+    /// Maximum number of retries of a caller whose request was refused.
+    pub max_retries: u32,
+    /// Time during which callers make requests.
+    pub duration: Duration,
 }
 
 impl Scenario {
-    /// A small service near its limits: 11 upstreams of two slots on machines that are five times
-    /// slower for a quarter of the time, a burst of 1.6 for five seconds.
+    /// Returns a small service near its capacity: 11 upstreams of two slots, on machines that are
+    /// five times slower for a quarter of the time, and for five seconds 1.6 times the usual
+    /// request rate.
     pub fn small() -> Scenario {
         Scenario {
-            kinds: vec![Kind {
+            kinds: vec![CallKind {
                 name: "lookup".into(),
-                per_s: 105.0,
-                work: Duration::from_millis(60),
+                requests_per_s: 105.0,
+                mean_work: Duration::from_millis(60),
                 objective: Duration::from_millis(200),
-                deadline: Duration::from_millis(1_200),
-                answer_bytes: 5_000,
+                max_timeout: Duration::from_millis(1_200),
+                response_bytes: 5_000,
             }],
             zones: 3,
             nodes: 13,
-            upstreams: 11,
-            slots: 2,
-            queue: 4,
-            crowded_factor: 1.7,
-            noise: Noise { share: 0.25, factor: 5.0, every: Duration::from_millis(150) },
+            upstreams_per_kind: 11,
+            slots_per_upstream: 2,
+            max_queued: 4,
+            nearly_full_slowdown: 1.7,
+            noise: Noise {
+                slow_ratio: 0.25,
+                slowdown: 5.0,
+                change_interval: Duration::from_millis(150),
+            },
             burst: Some(Burst {
-                from: Duration::from_secs(4),
-                until: Duration::from_secs(9),
-                factor: 1.6,
+                start: Duration::from_secs(4),
+                end: Duration::from_secs(9),
+                rate_factor: 1.6,
             }),
-            returns: 2,
-            length: Duration::from_secs(12),
+            max_retries: 2,
+            duration: Duration::from_secs(12),
         }
     }
 
-    /// The same service where all machines keep their speed.
+    /// Returns the same service on machines that are never slow.
     pub fn steady() -> Scenario {
-        let noise = Noise { share: 0.0, factor: 1.0, every: Duration::from_millis(300) };
+        let noise =
+            Noise { slow_ratio: 0.0, slowdown: 1.0, change_interval: Duration::from_millis(300) };
         Scenario { noise, ..Scenario::small() }
     }
 
-    /// Upstreams of `slots` slots, on machines that change every `every` and are then `factor` times
-    /// slower for a third of the time; as much load for each slot as the small service has.
-    pub fn varied(slots: u32, factor: f64, every: Duration) -> Scenario {
+    /// Returns a service with `slots` slots per upstream and the load per slot of the small
+    /// service, on machines that are `slowdown` times slower for a third of the time, which changes
+    /// every `change_interval`.
+    pub fn varied(slots: u32, slowdown: f64, change_interval: Duration) -> Scenario {
         let mut scenario = Scenario::small();
-        scenario.noise = Noise { share: 0.33, factor, every };
-        scenario.queue = 2 * slots as usize;
-        scenario.kinds[0].per_s *= f64::from(slots) / f64::from(scenario.slots);
-        scenario.slots = slots;
+        scenario.noise = Noise { slow_ratio: 0.33, slowdown, change_interval };
+        scenario.max_queued = 2 * slots as usize;
+        scenario.kinds[0].requests_per_s *=
+            f64::from(slots) / f64::from(scenario.slots_per_upstream);
+        scenario.slots_per_upstream = slots;
         scenario
     }
 }
 
-/// Which of the decisions are made; each can be left out to see what it is worth.
+/// Decision rules of the nodes; each can be disabled to measure its effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// How upstreams are chosen.
+    /// Load balancing policy.
     pub policy: place::Policy,
-    /// Requests wait at the node for room.
-    pub waits: bool,
-    /// A caller's objective counts from its first attempt.
-    pub counts_from_first_attempt: bool,
-    /// What would be late in a queue is refused, not only what would miss its deadline.
+    /// Whether requests wait at the node while all upstreams are full.
+    pub waits_at_node: bool,
+    /// Whether the objective of a request counts from its caller's first attempt.
+    pub objective_from_first_attempt: bool,
+    /// Whether a request is refused if it would miss its objective, instead of only if it would
+    /// miss its deadline.
     pub refuses_late: bool,
-    /// Work is learned only from upstreams that were not crowded.
-    pub learns_uncrowded: bool,
-    /// What it costs to send one KiB to another zone, as a share of a request's worth.
+    /// Whether work is learned only from requests sent to an upstream that was not nearly full.
+    pub skips_nearly_full_samples: bool,
+    /// Cost of sending one KiB to another zone, as a share of a request's value.
     pub cross_zone_cost_per_kib: f64,
-    /// Questions before a request is placed.
-    pub ask_rounds: u32,
+    /// Maximum number of rounds of load probes before a request is placed.
+    pub max_probe_rounds: u32,
 }
 
 impl Default for Rules {
     fn default() -> Rules {
         Rules {
             policy: place::Policy::Reports,
-            waits: true,
-            counts_from_first_attempt: true,
+            waits_at_node: true,
+            objective_from_first_attempt: true,
             refuses_late: true,
-            learns_uncrowded: true,
+            skips_nearly_full_samples: true,
             cross_zone_cost_per_kib: 0.05,
-            ask_rounds: 2,
+            max_probe_rounds: 2,
         }
     }
 }
--- a/xtask/src/patterns.rs
+++ b/xtask/src/patterns.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use sim::{CrashReport, Crashes, Report, Rules, Scenario};
+use sim::{CrashReport, CrashScenario, Report, Rules, Scenario};
 
 /// Load patterns: slots of an upstream, how much slower its machine is at times, and how often that
 /// changes.
@@ -13,19 +13,23 @@
 /// Returns the rules compared, each with what is left out of it.
 fn variants() -> [(&'static str, Rules); 9] {
     let all = Rules::default;
-    let none =
-        Rules { waits: false, counts_from_first_attempt: false, refuses_late: false, ..all() };
+    let none = Rules {
+        waits_at_node: false,
+        objective_from_first_attempt: false,
+        refuses_late: false,
+        ..all()
+    };
     let outstanding = place::Policy::LeastOutstanding;
     [
         ("all of them", all()),
-        ("no waiting at the node", Rules { waits: false, ..all() }),
-        ("objective from each attempt", Rules { counts_from_first_attempt: false, ..all() }),
+        ("no waiting at the node", Rules { waits_at_node: false, ..all() }),
+        ("objective from each attempt", Rules { objective_from_first_attempt: false, ..all() }),
         ("late ones let in", Rules { refuses_late: false, ..all() }),
         ("none of these three", none),
-        ("work learned anywhere", Rules { learns_uncrowded: false, ..all() }),
+        ("work learned anywhere", Rules { skips_nearly_full_samples: false, ..all() }),
         ("zones crossed for nothing", Rules { cross_zone_cost_per_kib: 0.0, ..all() }),
-        ("nobody asked", Rules { ask_rounds: 0, ..all() }),
-        ("fewest outstanding", Rules { policy: outstanding, ask_rounds: 0, ..all() }),
+        ("nobody asked", Rules { max_probe_rounds: 0, ..all() }),
+        ("fewest outstanding", Rules { policy: outstanding, max_probe_rounds: 0, ..all() }),
     ]
 }
 
@@ -42,14 +46,14 @@
         for (name, rules) in variants() {
             let mut sum = Report::default();
             (0..seeds).for_each(|seed| sum.add(&sim::run(&scenario, &rules, seed)));
-            let each = |count: f64| count / f64::from(sum.asked.max(1));
+            let each = |count: f64| count / f64::from(sum.requests.max(1));
             println!(
                 "| {name} | {:.3} | {:.3} | {:.3} | {:.2} | {:.1} | {:.2} |",
-                sum.in_time_share(),
-                sum.burst_in_time_share(),
-                sum.served_share(),
+                sum.in_time_ratio(),
+                sum.burst_in_time_ratio(),
+                sum.served_ratio(),
                 each(f64::from(sum.refusals)),
-                each(f64::from(sum.questions)),
+                each(f64::from(sum.probes)),
                 each(sum.cross_zone_kib),
             );
         }
@@ -59,22 +63,25 @@
 
 /// Prints what crashing upstreams cost, by pattern.
 fn crashes(seeds: u64) {
-    let usual = Crashes::usual;
+    let usual = CrashScenario::baseline;
     let (ms, s) = (Duration::from_millis, Duration::from_secs);
-    let alone = || Crashes { crashing_every: None, ..usual() };
-    let patterns: [(&str, Crashes); 9] = [
+    let alone = || CrashScenario { crashing_request_interval: None, ..usual() };
+    let patterns: [(&str, CrashScenario); 9] = [
         ("a crashing request, 5/s", usual()),
-        ("50/s", Crashes { crashing_every: Some(ms(20)), ..usual() }),
-        ("each 4 s", Crashes { crashing_every: Some(s(4)), ..usual() }),
-        ("5/s, news after 80 ms", Crashes { told_after: ms(80), ..usual() }),
-        ("5/s, 300 nodes", Crashes { nodes: 300, ..usual() }),
-        ("5/s, 4 upstreams", Crashes { upstreams: 4, per_s: 30.0, ..usual() }),
-        ("a third ends, once", Crashes { ends: vec![(s(10), 0.33)], ..alone() }),
+        ("50/s", CrashScenario { crashing_request_interval: Some(ms(20)), ..usual() }),
+        ("each 4 s", CrashScenario { crashing_request_interval: Some(s(4)), ..usual() }),
+        ("5/s, news after 80 ms", CrashScenario { gossip_delay: ms(80), ..usual() }),
+        ("5/s, 300 nodes", CrashScenario { nodes: 300, ..usual() }),
+        ("5/s, 4 upstreams", CrashScenario { upstreams: 4, requests_per_s: 30.0, ..usual() }),
+        ("a third ends, once", CrashScenario { mass_crashes: vec![(s(10), 0.33)], ..alone() }),
         (
             "a third ends, each 2 s",
-            Crashes { ends: (5..25).step_by(2).map(|at| (s(at), 0.33)).collect(), ..alone() },
+            CrashScenario {
+                mass_crashes: (5..25).step_by(2).map(|at| (s(at), 0.33)).collect(),
+                ..alone()
+            },
         ),
-        ("twice within work of 2 s, 2 slots", Crashes::long_work()),
+        ("twice within work of 2 s, 2 slots", CrashScenario::long_work()),
     ];
     println!("\nUpstreams that crash; {seeds} seeds, figures for each run but the last.\n");
     println!("| pattern | crashed under the request | of it, most in one run | reached late, most in one run | others refused wrongly, of all |");
@@ -89,9 +96,9 @@
             "| {name} | {:.1} | {} | {} | {} of {} |",
             f64::from(sum.crashed) / seeds.max(1) as f64,
             most(|run| run.crashed),
-            most(|run| run.reached_late),
-            sum.refused_wrongly,
-            sum.asked,
+            most(|run| run.late_sends),
+            sum.wrongly_refused,
+            sum.requests,
         );
     }
 }
