--- a/crates/place/src/admit.rs
+++ b/crates/place/src/admit.rs
@@ -14,8 +14,8 @@
 const MAX_RETRY_AFTER_RATIO: f64 = 0.3;
 
 /// Range of the retry delay of a request whose objective has passed, as ratios of the time left
-/// until the deadline. Such a request is no longer urgent, so it leaves the slots that become free
-/// next to requests that can still be in time.
+/// until the deadline. Such a request is no longer urgent, so it leaves the next free slots to
+/// requests that can still be in time.
 const LATE_RETRY_AFTER_RATIOS: std::ops::Range<f64> = 0.15..MAX_RETRY_AFTER_RATIO;
 
 /// Maximum predicted latency as a ratio of the time left until the deadline. It is below 1 because
@@ -27,8 +27,8 @@
 /// of 1, half of these requests would be late, and the urgent requests behind them too.
 const MAX_OBJECTIVE_RATIO: f64 = 0.9;
 
-/// The same for the most urgent requests of a service. They too are refused once they would be
-/// late: a queue of only urgent requests makes all of them late just as well.
+/// [`MAX_OBJECTIVE_RATIO`] for the most urgent requests of a service. They too are refused once
+/// they would be late: a queue of only urgent requests makes all of them late just as well.
 const MAX_OBJECTIVE_RATIO_MOST_URGENT: f64 = 1.0;
 
 /// Minimum predicted queueing time for which a request waits at the node, as a ratio of its service
@@ -43,7 +43,7 @@
 /// busy slots, one becomes free in about that time.
 const RECHECK_INTERVAL_RATIO: f64 = 0.08;
 
-/// Minimum and maximum of that interval: each check costs a few probes of upstreams.
+/// Minimum and maximum interval between two checks: each check costs a few probes of upstreams.
 const RECHECK_INTERVAL_LIMITS: (Duration, Duration) =
     (Duration::from_millis(3), Duration::from_millis(20));
 
@@ -81,7 +81,8 @@
     },
 }
 
-/// Decides whether to send, hold or refuse a request whose best upstream is `best`.
+/// Decides whether a request whose best upstream is `best` is sent, waits at the node, or is
+/// refused.
 ///
 /// The load pattern: more requests arrive than there are slots. All queues fill, requests of every
 /// kind become late together, and the work that is done is worth nothing.
@@ -105,9 +106,9 @@
         && request.rechecks.is_some_and(|rechecks| rechecks < MAX_RECHECKS)
         && request.objective_left
             >= service_time.mul_f64(MIN_OBJECTIVE_LEFT_RATIO) + recheck_interval;
-    let is_lost = request.objective_left.is_zero() && latency > request.deadline_left;
+    let is_too_late = request.objective_left.is_zero() && latency > request.deadline_left;
     match () {
-        () if best.prediction.queue_time.is_zero() && !is_lost => Decision::Send,
+        () if best.prediction.queue_time.is_zero() && !is_too_late => Decision::Send,
         () if may_wait => Decision::Wait(recheck_interval),
         () if latency > request.deadline_left.mul_f64(MAX_DEADLINE_RATIO) => {
             refuse(best, request, rng)
@@ -120,7 +121,7 @@
 /// Refuses a request with a randomized retry delay.
 ///
 /// The delays spread the retries over the time that the queue takes to empty: with a common delay
-/// all refused callers would come back at the same moment.
+/// all refused callers would retry at the same moment.
 fn refuse<R: Rng>(best: &Candidate, request: AdmissionRequest, rng: &mut R) -> Decision {
     let retry_after = match request.objective_left.is_zero() {
         true => request
--- a/crates/place/src/admit/tests.rs
+++ b/crates/place/src/admit/tests.rs
@@ -33,14 +33,46 @@
     urgent_and_late = { load(4, 6, 1.0), REQUEST, false },
     urgent_and_just_in_time = { load(4, 2, 1.0), REQUEST, true },
     urgent_at_a_slow_idle_machine = { load(0, 0, 4.0), REQUEST, true },
-    less_urgent_and_in_time = { load(4, 0, 1.0), AdmissionRequest { most_urgent: false, ..REQUEST }, true },
-    less_urgent_and_likely_late = { load(4, 3, 1.0), AdmissionRequest { most_urgent: false, ..REQUEST }, false },
-    less_urgent_and_late = { load(4, 6, 1.0), AdmissionRequest { most_urgent: false, ..REQUEST }, false },
-    less_urgent_at_a_slow_idle_machine = { load(0, 0, 4.0), AdmissionRequest { most_urgent: false, ..REQUEST }, true },
+    less_urgent_and_in_time = {
+        load(4, 0, 1.0),
+        AdmissionRequest { most_urgent: false, ..REQUEST },
+        true
+    },
+    less_urgent_and_likely_late = {
+        load(4, 3, 1.0),
+        AdmissionRequest { most_urgent: false, ..REQUEST },
+        false
+    },
+    less_urgent_and_late = {
+        load(4, 6, 1.0),
+        AdmissionRequest { most_urgent: false, ..REQUEST },
+        false
+    },
+    less_urgent_at_a_slow_idle_machine = {
+        load(0, 0, 4.0),
+        AdmissionRequest { most_urgent: false, ..REQUEST },
+        true
+    },
     hopeless = { load(4, 12, 4.0), REQUEST, false },
-    late_with_time_for_a_response = { load(0, 0, 4.0), AdmissionRequest { objective_left: Duration::ZERO, ..REQUEST }, true },
-    late_without_time_for_a_response = { load(0, 0, 4.0), AdmissionRequest { objective_left: Duration::ZERO, deadline_left: Duration::from_millis(390), ..REQUEST }, false },
-    short_deadline_but_not_late = { load(0, 0, 4.0), AdmissionRequest { deadline_left: Duration::from_millis(390), ..REQUEST }, true },
+    late_with_time_for_a_response = {
+        load(0, 0, 4.0),
+        AdmissionRequest { objective_left: Duration::ZERO, ..REQUEST },
+        true
+    },
+    late_without_time_for_a_response = {
+        load(0, 0, 4.0),
+        AdmissionRequest {
+            objective_left: Duration::ZERO,
+            deadline_left: Duration::from_millis(390),
+            ..REQUEST
+        },
+        false
+    },
+    short_deadline_but_not_late = {
+        load(0, 0, 4.0),
+        AdmissionRequest { deadline_left: Duration::from_millis(390), ..REQUEST },
+        true
+    },
 )]
 fn requests_are_sent_or_refused(load: Option<Load>, request: AdmissionRequest, sent: bool) {
     assert_eq!(decide(load, request) == Decision::Send, sent);
@@ -63,8 +95,15 @@
         left_ms in 1u64..5_000,
         most_urgent: bool,
     ) {
-        let request = AdmissionRequest { deadline_left: ms(left_ms), objective_left: ms(left_ms / 2), most_urgent, rechecks: None };
-        if let Decision::Refuse { retry_after } = decide(load(running, waiting, slowness), request) {
+        let request = AdmissionRequest {
+            deadline_left: ms(left_ms),
+            objective_left: ms(left_ms / 2),
+            most_urgent,
+            rechecks: None
+        };
+        if let Decision::Refuse { retry_after } =
+            decide(load(running, waiting, slowness), request)
+        {
             prop_assert!(retry_after >= ms(50));
             prop_assert!(retry_after <= ms(50).max(request.deadline_left.mul_f64(0.3)));
         }
@@ -77,12 +116,28 @@
 /// held.
 #[yare::parameterized(
     time_to_spare = { load(4, 0, 1.0), AdmissionRequest { rechecks: Some(0), ..REQUEST }, true },
-    less_urgent = { load(4, 0, 1.0), AdmissionRequest { rechecks: Some(0), most_urgent: false, ..REQUEST }, true },
+    less_urgent = {
+        load(4, 0, 1.0),
+        AdmissionRequest { rechecks: Some(0), most_urgent: false, ..REQUEST },
+        true
+    },
     free_slot = { load(3, 0, 1.0), AdmissionRequest { rechecks: Some(0), ..REQUEST }, false },
     max_rechecks = { load(4, 0, 1.0), AdmissionRequest { rechecks: Some(24), ..REQUEST }, false },
     in_flight = { load(4, 0, 1.0), REQUEST, false },
-    no_time_left = { load(4, 0, 1.0), AdmissionRequest { rechecks: Some(0), objective_left: Duration::from_millis(160), ..REQUEST }, false },
-    late = { load(4, 0, 1.0), AdmissionRequest { rechecks: Some(0), objective_left: Duration::ZERO, ..REQUEST }, false },
+    no_time_left = {
+        load(4, 0, 1.0),
+        AdmissionRequest {
+            rechecks: Some(0),
+            objective_left: Duration::from_millis(160),
+            ..REQUEST
+        },
+        false
+    },
+    late = {
+        load(4, 0, 1.0),
+        AdmissionRequest { rechecks: Some(0), objective_left: Duration::ZERO, ..REQUEST },
+        false
+    },
 )]
 fn requests_wait_at_the_node_while_they_can_be_in_time(
     load: Option<Load>,
--- a/crates/place/src/evacuations.rs
+++ b/crates/place/src/evacuations.rs
@@ -13,7 +13,7 @@
 /// The evacuated zones, whose upstreams get no requests.
 ///
 /// A store that was restored from an older copy may list an evacuation that has been lifted since,
-/// or lack one that was started. What this node knew stays in force until the writer has had time
+/// or lack one that was started. What this node knew stays in force until the writers have had time
 /// to write again.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
--- a/crates/place/src/health.rs
+++ b/crates/place/src/health.rs
@@ -19,7 +19,7 @@
 /// Weight, in failures, of a refusal by an upstream that reported free slots.
 const REFUSAL_WEIGHT: f64 = 0.4;
 
-/// Recent responses of one upstream.
+/// Outlier detection state of one upstream: its recent failures and its ejections.
 ///
 /// Health checks are not taken into account: they may pass while every request fails, and fail
 /// while every request is served.
--- a/crates/place/src/incarnation.rs
+++ b/crates/place/src/incarnation.rs
@@ -16,7 +16,7 @@
 /// one. All such state is therefore kept by incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Id.
+    /// Id of the upstream.
     pub id: UpstreamId,
     /// Unix time of the start in milliseconds, by the upstream's own clock; 0 if it does not report
     /// it.
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -3,11 +3,11 @@
 //! The load pattern: upstreams share their machines with others, so the time that the same work
 //! takes changes up to fourfold within a few hundred milliseconds. A load report that is a second
 //! old says nothing, while one that is 20 ms old is worth more than any average. [`Pool`] therefore
-//! ranks upstreams by a predicted latency that trusts a report less the older it is, and selects
-//! the upstreams worth probing first ([`Pool::probe_targets`]). [`admit`] decides which requests
-//! wait and which are refused when all predictions are bad; [`RetryDetector`] estimates for how
-//! long a caller has been retrying by then. [`Roster`] tracks which upstreams exist, also during
-//! outages of the store that lists them.
+//! ranks upstreams by a predicted latency in which a report weighs less the older it is, and
+//! selects the upstreams worth probing first ([`Pool::probe_targets`]). [`admit`] decides which
+//! requests wait and which are refused when every upstream is predicted to be slow;
+//! [`RetryDetector`] estimates for how long the caller of a request has been retrying. [`Roster`]
+//! tracks which upstreams exist, also during outages of the store that lists them.
 //!
 //! The crate does no I/O: time and randomness are passed in.
 
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -330,7 +330,7 @@
         }
     }
 
-    /// Returns true if at most half of the upstreams would be ejected together with `index`.
+    /// Returns true if at most half of the upstreams would be ejected, counting the one at `index`.
     ///
     /// Without this limit, an overload in which every upstream fails requests would eject them all
     /// and turn a slow service into an unavailable one.
@@ -490,7 +490,7 @@
     /// The result is empty if the best candidate is in the own zone, has a fresh report and a low
     /// cost: probing others could hardly improve on it. A candidate of another zone may have to
     /// give way to one that was not probed. A new connection is expensive, and a full upstream
-    /// answers on it only once a slot is free, which is too late to be of use. A connection is
+    /// responds on it only once a slot is free, which is too late to be of use. A connection is
     /// never opened to probe an upstream at which this node has requests in flight: it is busier
     /// than others, and the responses to those requests will report its load.
     pub fn probe_targets(&self, ranked: &[Candidate], max: usize, max_new: usize) -> Vec<usize> {
--- a/crates/place/src/retry_detector/tests.rs
+++ b/crates/place/src/retry_detector/tests.rs
@@ -10,8 +10,8 @@
 
 const KIND: SmolStr = SmolStr::new_static("browse");
 
-/// Returns a detector that has seen many first attempts of one kind, with deadlines of 1.0 to 1.2
-/// s.
+/// Returns a detector that has seen many first attempts of one kind, with deadlines of 1.0 s to
+/// 1.2 s.
 fn detector_after_first_attempts(rng: &mut StdRng) -> RetryDetector {
     let mut detector = RetryDetector::default();
     for _ in 0..200 {
--- a/crates/place/src/roster.rs
+++ b/crates/place/src/roster.rs
@@ -39,9 +39,9 @@
     /// Unix time of this start in milliseconds, by the upstream's own clock; 0 if it does not
     /// report it.
     pub born_ms: u64,
-    /// Service.
+    /// Name of the service that it belongs to.
     pub service: SmolStr,
-    /// Address.
+    /// Address that requests are sent to.
     pub addr: SocketAddr,
     /// Availability zone.
     pub zone: SmolStr,
@@ -101,9 +101,9 @@
     Drop {
         /// The dropped incarnation.
         upstream: Incarnation,
-        /// Its service.
+        /// Name of its service.
         service: SmolStr,
-        /// Its address.
+        /// Address that requests were sent to.
         addr: SocketAddr,
         /// `leaving`, `unlisted`, `not back` after an outage, `restarted`, `moved`, or
         /// `unusable entry`.
@@ -119,23 +119,22 @@
     unlisted: HashMap<UpstreamId, Instant>,
     /// When the first and the newest of the requests that the store left unanswered were sent.
     store_unreachable: Option<(Instant, Instant)>,
-    /// The earliest time at which the store may have been back, and the time since which it is
-    /// known to be back.
+    /// The earliest and the latest time at which the store can have come back after an outage.
     store_back: Option<(Instant, Instant)>,
     /// The newest start of each dropped upstream, and when it was dropped.
     last_starts: HashMap<UpstreamId, (u64, Instant)>,
     /// Until when entries of dropped upstreams are assumed to be out of date after a store
     /// rollback.
     distrust_until: Option<Instant>,
-    /// Such entries, which are applied at that time.
+    /// The newest entry of each such upstream, applied at `distrust_until`.
     pending: HashMap<UpstreamId, Entry>,
 }
 
 impl Roster {
-    /// Records that the store did not answer a request sent at `asked_at`.
-    pub fn store_lost(&mut self, asked_at: Instant) {
-        let since = self.store_unreachable.map_or(asked_at, |(since, _)| since);
-        self.store_unreachable = Some((since, asked_at));
+    /// Records that the store did not answer a request sent at `requested_at`.
+    pub fn store_lost(&mut self, requested_at: Instant) {
+        let since = self.store_unreachable.map_or(requested_at, |(since, _)| since);
+        self.store_unreachable = Some((since, requested_at));
     }
 
     /// Records that the store answered.
@@ -223,8 +222,8 @@
             gone >= 3 && gone as f64 >= MIN_MASS_LOSS_RATIO * self.entries.len() as f64;
         let keep_until = match self.store_back {
             // With many entries missing, most likely none has had time to be listed again.
-            Some((_, surely)) if is_mass_loss && now < surely + UNLISTED_TTL_AFTER_OUTAGE => {
-                Some(surely + UNLISTED_TTL_AFTER_OUTAGE)
+            Some((_, latest)) if is_mass_loss && now < latest + UNLISTED_TTL_AFTER_OUTAGE => {
+                Some(latest + UNLISTED_TTL_AFTER_OUTAGE)
             }
             Some((earliest, _)) if now < earliest + UNLISTED_TTL_AFTER_OUTAGE => {
                 Some(earliest + UNLISTED_TTL_AFTER_OUTAGE)
--- a/crates/place/src/roster/tests.rs
+++ b/crates/place/src/roster/tests.rs
@@ -101,10 +101,10 @@
     assert_eq!(roster.len(), 2);
 }
 
-/// Guards against sending requests to an upstream that left twelve seconds ago. A node is cut off
-/// from the store, an upstream drains and leaves, the connection recovers, and the node finds the
-/// entry missing. The entry must be kept for two seconds from the last unanswered request, which
-/// may have been long before, and not from the first answer.
+/// Guards against sending requests to an upstream that left twelve seconds ago. A node is
+/// partitioned from the store, an upstream drains and leaves, the connection recovers, and the node
+/// finds the entry missing. The entry must be kept for two seconds from the last unanswered
+/// request, which may have been long before, and not from the first answer.
 #[test]
 fn an_entry_missing_after_a_partition_is_kept_from_the_last_unanswered_request() {
     let now = Instant::now();
@@ -183,13 +183,13 @@
     if has_left {
         roster.apply(vec![Event::Put(Entry { leaving: true, ..later_start(1) })], now);
     }
-    let held: Vec<Entry> = roster.entries().cloned().collect();
+    let known: Vec<Entry> = roster.entries().cloned().collect();
     let late = || Entry { leaving, ..entry(1, "a") };
     assert_eq!(roster.apply(vec![Event::Put(late())], now + ms(3_000)), []);
     assert_eq!(roster.adopt_changes(vec![Event::Put(late())], now), []);
     assert_eq!(roster.adopt_snapshot(vec![late()], now), []);
     assert_eq!(roster.apply_snapshot(vec![Event::Put(late())], now), []);
-    assert_eq!(roster.entries().cloned().collect::<Vec<Entry>>(), held);
+    assert_eq!(roster.entries().cloned().collect::<Vec<Entry>>(), known);
 }
 
 /// Guards against unbounded growth: upstreams come and go under new ids for days, and the start of
@@ -228,9 +228,9 @@
         Event::Unusable("nobody".into()),
     ];
     assert_eq!(dropped(&roster.apply_snapshot(rows, now + ms(300))), [("u3", "unusable entry")]);
-    let mut held: Vec<String> = roster.entries().map(|e| e.id.to_string()).collect();
-    held.sort();
-    assert_eq!(held, ["u2", "u4"]);
+    let mut known: Vec<String> = roster.entries().map(|e| e.id.to_string()).collect();
+    known.sort();
+    assert_eq!(known, ["u2", "u4"]);
 }
 
 /// Generates events in any order: starts, departures, late entries and unusable entries.
@@ -249,7 +249,9 @@
     /// consistent with the one before it, and a peer that adopts the changes has the same
     /// upstreams.
     #[test]
-    fn starts_never_go_back_on_the_node_and_its_peers(events in prop::collection::vec(event(), 1..40)) {
+    fn starts_never_go_back_on_the_node_and_its_peers(
+        events in prop::collection::vec(event(), 1..40)
+    ) {
         let now = Instant::now();
         let (mut node, mut peer) = (Roster::default(), Roster::default());
         let mut newest = std::collections::HashMap::<crate::UpstreamId, u64>::new();
@@ -275,11 +277,11 @@
                 peer.adopt_changes(vec![forwarded], now);
             }
         }
-        let held = |roster: &Roster| {
-            let mut held: Vec<_> = roster.entries().map(Entry::incarnation).collect();
-            held.sort();
-            held
+        let known = |roster: &Roster| {
+            let mut known: Vec<_> = roster.entries().map(Entry::incarnation).collect();
+            known.sort();
+            known
         };
-        prop_assert_eq!(held(&node), held(&peer));
+        prop_assert_eq!(known(&node), known(&peer));
     }
 }
--- a/crates/place/src/upstream.rs
+++ b/crates/place/src/upstream.rs
@@ -9,12 +9,12 @@
 use crate::warm_up::Window;
 use crate::Incarnation;
 
-/// Time constant of the trust in a reported slowness. Machines may change speed every 300 ms, so a
-/// report of that age says little.
+/// Time constant with which the weight of a reported slowness decays. Machines may change speed
+/// every 300 ms, so a report of that age says little.
 const SLOWNESS_DECAY_TIME: Duration = Duration::from_millis(300);
 
-/// Time constant of the trust in the reported numbers of running and waiting requests. Queues
-/// change as requests end, which is slower than the changes of machine speed.
+/// Time constant with which the weight of the reported numbers of running and waiting requests
+/// decays. Queues change as requests end, which is slower than the changes of machine speed.
 const OCCUPANCY_DECAY_TIME: Duration = Duration::from_secs(1);
 
 /// Utilization above which an upstream counts as nearly full.
@@ -72,9 +72,9 @@
 /// One upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Id and start.
+    /// Id and start time.
     pub incarnation: Incarnation,
-    /// Address.
+    /// Address that requests are sent to.
     pub addr: SocketAddr,
     /// Availability zone.
     pub zone: SmolStr,
@@ -82,8 +82,9 @@
     pub slots: u32,
     /// Requests of this node that have not ended.
     pub outstanding: u32,
-    /// Outlier detection.
+    /// Recent failures and ejections.
     pub(crate) health: Health,
+    /// Until when it is cold, as it has reported.
     pub(crate) cold_until: Option<Instant>,
     /// Until when it is treated as cold although it has not reported to be.
     pub(crate) assumed_cold_until: Option<Instant>,
@@ -216,14 +217,14 @@
             Some((load, age)) => {
                 let decay =
                     |decay_time: Duration| (-age.as_secs_f64() / decay_time.as_secs_f64()).exp();
-                let slowness_trust = decay(SLOWNESS_DECAY_TIME);
+                let slowness_weight = decay(SLOWNESS_DECAY_TIME);
                 let slowness =
-                    slowness_trust * load.slowness + (1.0 - slowness_trust) * typical.slowness;
-                let occupancy_trust = decay(OCCUPANCY_DECAY_TIME);
+                    slowness_weight * load.slowness + (1.0 - slowness_weight) * typical.slowness;
+                let occupancy_weight = decay(OCCUPANCY_DECAY_TIME);
                 let reported = (i64::from(load.running + load.waiting) + self.since_report) as f64;
                 (
                     slowness,
-                    occupancy_trust * reported + (1.0 - occupancy_trust) * typically_occupied,
+                    occupancy_weight * reported + (1.0 - occupancy_weight) * typically_occupied,
                 )
             }
             None => (typical.slowness, typically_occupied + f64::from(self.outstanding)),
--- a/crates/place/src/warm_up.rs
+++ b/crates/place/src/warm_up.rs
@@ -1,16 +1,16 @@
 //! Rate limit for cold upstreams, shared by all entry nodes without coordination.
 //!
-//! The load pattern: the upstreams of a zone come back together, cold, while the others are
-//! crowded. Each of a hundred nodes sends a request to a cold upstream because it looks empty. The
-//! upstream crashes under a load that a warm one would bear, and comes back cold once more. A fixed
-//! share for each node does not help: it is a small fraction of one request a second, and if a
-//! hundred nodes save it up, their requests arrive at once.
+//! The load pattern: the upstreams of a zone start together, cold, while the others are nearly
+//! full. Each of a hundred nodes sends a request to a cold upstream because it looks empty. The
+//! upstream crashes under a load that a warm one would bear, and starts cold again. A fixed share
+//! for each node does not help: it is a small fraction of one request a second, and if a hundred
+//! nodes accumulate their shares, their requests arrive at once.
 //!
 //! Time is therefore divided into windows, in each of which an upstream can take one request. A
-//! node holds one window in as many as there are nodes, selected by a hash of its own seed. Nothing
-//! is saved up, and what all nodes send adds up to the configured rate although no node knows which
-//! others hold a window. It does not matter which nodes are alive or reach each other, nor that
-//! their clocks differ.
+//! node holds one window in as many as there are nodes, selected by a hash of its own seed. No node
+//! accumulates a share, and what all nodes send adds up to the configured rate although no node
+//! knows which others hold a window. It does not matter which nodes are alive or reach each other,
+//! nor that their clocks differ.
 
 use std::hash::Hasher;
 use std::time::{Duration, Instant};
--- a/crates/place/src/warm_up/tests.rs
+++ b/crates/place/src/warm_up/tests.rs
@@ -54,8 +54,8 @@
     windows.iter().map(count_from).max().unwrap_or_default()
 }
 
-/// Guards against crashing upstreams that have just come back: a hundred or more nodes each send a
-/// cold upstream as much as they may. The total is too high if nodes save up their shares, or if
+/// Guards against crashing upstreams that have just started: a hundred or more nodes each send a
+/// cold upstream as much as they may. The total is too high if nodes accumulate their shares, or if
 /// each may send at least one request.
 #[yare::parameterized(
     few_nodes = { 16, 3.1 },
@@ -80,10 +80,10 @@
     );
 }
 
-/// Guards against the same while nodes are cut off from each other: both sides keep sending, so
+/// Guards against crashing cold upstreams while nodes are partitioned: both sides keep sending, so
 /// each must divide the rate by the number of all nodes and not only of the reachable ones.
 #[test]
-fn nodes_that_are_cut_off_do_not_send_more() {
+fn partitioned_nodes_do_not_send_more() {
     let (one, other) = (windows(87, 105, 3.1, 1), windows(18, 105, 3.1, 2));
     let mut all = [one, other].concat();
     all.sort_unstable();
--- a/crates/place/src/work.rs
+++ b/crates/place/src/work.rs
@@ -48,14 +48,14 @@
 /// Mean work and size by kind of request.
 #[derive(Clone, Debug, Default)]
 pub struct WorkEstimates {
-    seconds: HashMap<SmolStr, Mean>,
-    kib: HashMap<SmolStr, Mean>,
+    work_s: HashMap<SmolStr, Mean>,
+    size_kib: HashMap<SmolStr, Mean>,
 }
 
 impl WorkEstimates {
     /// Returns the mean work of `kind`, or an estimate from its `objective` if there is no sample.
     pub fn work(&self, kind: &str, objective: Duration) -> Duration {
-        match self.seconds.get(kind) {
+        match self.work_s.get(kind) {
             Some(mean) => Duration::from_secs_f64(mean.value),
             None => objective.mul_f64(INITIAL_WORK_RATIO),
         }
@@ -64,25 +64,26 @@
     /// Records the latency of a response from an upstream that was neither slowed nor nearly full.
     pub fn record_work(&mut self, kind: &SmolStr, objective: Duration, latency: Duration) {
         let estimate = objective.mul_f64(INITIAL_WORK_RATIO).as_secs_f64();
-        let mean = self.seconds.entry(kind.clone()).or_insert(Mean::with_estimate(estimate));
+        let mean = self.work_s.entry(kind.clone()).or_insert(Mean::with_estimate(estimate));
         mean.add(latency.as_secs_f64().min(mean.value * MAX_SAMPLE_RATIO));
     }
 
     /// Returns the mean size of a request of `kind` with its response, in KiB.
     pub fn size_kib(&self, kind: &str) -> f64 {
-        self.kib.get(kind).map_or(INITIAL_SIZE_KIB, |mean| mean.value)
+        self.size_kib.get(kind).map_or(INITIAL_SIZE_KIB, |mean| mean.value)
     }
 
     /// Records the total size of the bodies of a request and its response.
     pub fn record_size(&mut self, kind: &SmolStr, bytes: usize) {
-        let mean = self.kib.entry(kind.clone()).or_insert(Mean::with_estimate(INITIAL_SIZE_KIB));
+        let mean =
+            self.size_kib.entry(kind.clone()).or_insert(Mean::with_estimate(INITIAL_SIZE_KIB));
         mean.add(OVERHEAD_KIB + bytes as f64 / 1_024.0);
     }
 
     /// Removes the kinds for which `is_known` returns false, so that kinds used once do not
     /// accumulate.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
-        self.seconds.retain(|kind, _| is_known(kind));
-        self.kib.retain(|kind, _| is_known(kind));
+        self.work_s.retain(|kind, _| is_known(kind));
+        self.size_kib.retain(|kind, _| is_known(kind));
     }
 }
