--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -10,8 +10,8 @@
 //!
 //! Whether an upstream may be picked at all depends on its [`Tier`]: refusals,
 //! watchers' reports and repeated failures put it in a lower tier, and a lower
-//! tier is used only when the better ones are empty. Only leaving upstreams
-//! are never picked.
+//! tier is used only when the better ones are empty. Leaving upstreams are in
+//! no tier and never picked.
 
 mod pick;
 mod upstream;
@@ -28,7 +28,7 @@
 /// Weight of the newest response in the mean latency of its kind of call.
 const MEAN_LATENCY_WEIGHT: f64 = 0.05;
 
-/// Kinds of call that each have their own latencies; further kinds share those of
+/// Maximum number of kinds of call with latencies of their own; further kinds share those of
 /// [`OVERFLOW_KIND`].
 ///
 /// Kinds are not taken modulo a fixed number: when a light and a heavy kind
@@ -74,6 +74,7 @@
 /// An estimate of a kind's lowest latency, which follows lower samples quickly and rises slowly.
 #[derive(Clone, Copy, Debug)]
 struct BaselineLatency {
+    /// The estimate at `updated_at`, in microseconds.
     us: f64,
     updated_at: Instant,
 }
--- a/crates/balance/src/pick.rs
+++ b/crates/balance/src/pick.rs
@@ -11,7 +11,7 @@
 /// caller's zone to be picked, since traffic between zones costs money.
 pub(crate) const SPILLOVER_COST_RATIO: f64 = 2.0;
 
-/// Number of upstreams compared for one call at most, starting at a random one,
+/// Maximum number of upstreams compared for one call, starting at a random one,
 /// so that the cost of a call does not grow with the size of a service.
 const MAX_SCANNED_UPSTREAMS: usize = 32;
 
--- a/crates/balance/src/upstream.rs
+++ b/crates/balance/src/upstream.rs
@@ -94,6 +94,7 @@
     consecutive_ejections: u32,
     /// End of the current or last ejection; reset by a response.
     ejected_until: Option<Instant>,
+    /// Until when other upstreams are preferred because this one refused a call.
     refused_until: Option<Instant>,
 }
 
