--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Admission control of an entry node for one service.
 //!
 //! [`Limiter`] limits the calls in flight to what the upstreams have shown
-//! they can take, and shares that limit fairly between teams. [`RetryBudget`]
+//! that they can take, and shares that limit fairly between teams. [`RetryBudget`]
 //! limits how many calls are sent a second time. Neither reads a clock: the
 //! caller passes the time in.
 
--- a/crates/limit/src/limiter.rs
+++ b/crates/limit/src/limiter.rs
@@ -6,13 +6,13 @@
 use smol_str::SmolStr;
 
 /// The limit is lifted this long after the last decrease. A limit without
-/// recent evidence refuses calls that the upstreams have room for when the
+/// recent evidence refuses calls that the upstreams have capacity for when the
 /// rate rises suddenly: starting at 16 refused 4 of 16,000 calls at idle
 /// upstreams when the rate went from 1,000 to 4,000 per second.
 const LIMIT_TTL: Duration = Duration::from_secs(30);
 
-/// Lowest limit. A few calls must go on, or the node never learns that the
-/// upstreams accept calls again.
+/// Lowest limit, in calls in flight on one node. A few calls must still be
+/// sent, or the node never learns that the upstreams accept calls again.
 const MIN_LIMIT: f64 = 2.0;
 
 /// Highest limit, in calls in flight on one node.
@@ -37,7 +37,8 @@
 const CAUTIOUS_STEP: f64 = 0.1;
 
 /// Range in which the limit increases by [`CAUTIOUS_STEP`], as a ratio to the
-/// level of the last decrease; above it, the upstreams have more room than before.
+/// level of the last decrease; above it, the upstreams have more capacity
+/// than before.
 const CAUTIOUS_RANGE: (f64, f64) = (0.8, 1.2);
 
 /// Part of the limit reserved for teams below their fair share: its ratio to
@@ -76,10 +77,10 @@
 /// slowly near the level of the last decrease. It decreases when
 /// upstreams refuse calls or many calls take several times the usual time.
 /// Entry nodes thereby converge on shares of the upstreams' capacity without
-/// talking to each other. A team may use any free capacity; when capacity is
+/// communicating. A team may use any free capacity; when capacity is
 /// short, a team below its fair share is admitted before one above it.
 ///
-/// Without it, a burst of one team fills every queue, and calls of quiet
+/// Without a limiter, a burst of one team fills every queue, and calls of quiet
 /// teams are refused or late in the same proportion. The symptom is errors
 /// for teams whose own rate did not change.
 #[derive(Clone, Debug)]
--- a/crates/limit/src/limiter/tests.rs
+++ b/crates/limit/src/limiter/tests.rs
@@ -119,7 +119,7 @@
 
 /// Guards against a limit that falls to zero or does not increase again: after
 /// an outage, in which every call is refused, the node would go on refusing
-/// calls that the upstreams have room for.
+/// calls that the upstreams have capacity for.
 #[test]
 fn limit_recovers_after_an_overload() {
     let (mut limiter, mut now) = (Limiter::default(), Instant::now());
@@ -164,7 +164,7 @@
     }
 }
 
-/// Guards against counting each refusal of one overload as a new sign: calls
+/// Guards against decreasing the limit for each refusal of one overload: calls
 /// admitted before a decrease are refused one after the other, and the limit
 /// would fall to the minimum.
 #[test]
--- a/crates/limit/src/retry.rs
+++ b/crates/limit/src/retry.rs
@@ -1,11 +1,12 @@
 //! Retry budget: limits how many calls are sent a second time.
 
-/// Default burst: retries allowed beyond the ratio, so that a service with few calls can retry.
+/// Default burst: retries allowed beyond the ratio of first sends, so that a service with few
+/// calls can retry.
 const DEFAULT_BURST: f64 = 10.0;
 
 /// A token bucket for retries: each first send adds a fraction of a token, each retry takes one.
 ///
-/// Without it, upstreams that are slow or full make every call fail, every
+/// Without a budget, upstreams that are slow or full make every call fail, every
 /// entry node sends every call again, and the retries keep the upstreams full
 /// after the cause is gone. The symptom is upstream load at a multiple of the
 /// callers' rate.
