--- a/crates/watch/src/lib.rs
+++ b/crates/watch/src/lib.rs
@@ -8,8 +8,8 @@
 //! `n` upstreams, each watcher probes each of its upstreams once per
 //! `n * WATCHERS_PER_UPSTREAM / B` seconds, which adds up to `B`.
 //!
-//! Nodes read the list at different times, so two nodes can both take
-//! themselves for the same watcher, and a paused or disconnected node can
+//! Nodes read the list at different times, so two nodes can both act as the
+//! same watcher, and a paused or disconnected node can
 //! continue with an old list. The probes would then exceed the budget, which
 //! shows only as load on the upstreams. Two rules prevent this without
 //! agreement between nodes:
@@ -46,7 +46,7 @@
 /// Times and limits that keep probes within the budget.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeRules {
-    /// Time after the request of a list read during which the list allows probes.
+    /// Time, counted from when a list read was requested, during which the list allows probes.
     pub lease_ttl: Duration,
     /// Delay before a raised probe rate takes effect.
     pub increase_delay: Duration,
@@ -193,12 +193,12 @@
         for target in list.targets {
             *target_counts.entry(&target.service).or_default() += 1;
         }
-        let watchers = WATCHERS_PER_UPSTREAM.min(self.entries.len());
+        let watcher_count = WATCHERS_PER_UPSTREAM.min(self.entries.len());
         let mut wanted: BTreeMap<SocketAddr, (SmolStr, Duration)> = BTreeMap::new();
         for target in list.targets {
             let budget = budget_per_s(&target.service);
             if budget > 0 && self.is_watcher(target) {
-                let pairs = target_counts[target.service.as_str()] * watchers;
+                let pairs = target_counts[target.service.as_str()] * watcher_count;
                 let interval = Duration::from_secs_f64(pairs as f64 / budget as f64);
                 wanted.insert(target.addr, (target.service.clone(), interval));
             }
--- a/crates/watch/src/tests.rs
+++ b/crates/watch/src/tests.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Guards against treating a list as valid forever: a node that is cut off from
+/// Guards against treating a list as valid forever: a node that is partitioned from
 /// the platform would continue to probe by an old list, and upstreams would get
 /// more probes than the budget allows. Its list reads fail for longer than the
 /// lease; then one succeeds.
@@ -268,7 +268,7 @@
 enum Step {
     ToggleEntry(usize),
     ToggleTarget(usize),
-    CutOff(usize),
+    Partition(usize),
     Reconnect(usize),
     Pause(usize),
     Resume(usize),
@@ -284,7 +284,7 @@
     prop_oneof![
         2 => (0..NODES).prop_map(Step::ToggleEntry),
         2 => (0..UPSTREAMS).prop_map(Step::ToggleTarget),
-        1 => (0..NODES).prop_map(Step::CutOff),
+        1 => (0..NODES).prop_map(Step::Partition),
         1 => (0..NODES).prop_map(Step::Reconnect),
         1 => (0..NODES).prop_map(Step::Pause),
         1 => (0..NODES).prop_map(Step::Resume),
@@ -297,7 +297,7 @@
     start: Instant,
     now: Instant,
     nodes: Vec<ProbeScheduler>,
-    cut_off: [bool; NODES],
+    partitioned: [bool; NODES],
     paused: [bool; NODES],
     entries: Vec<bool>,
     targets: Vec<bool>,
@@ -317,7 +317,7 @@
             nodes: (0..NODES)
                 .map(|i| ProbeScheduler::new(entry(i).0, ProbeRules::default()))
                 .collect(),
-            cut_off: [false; NODES],
+            partitioned: [false; NODES],
             paused: [false; NODES],
             history: vec![(start, entries.clone(), targets.clone())],
             entries,
@@ -349,7 +349,7 @@
                     continue;
                 }
                 // Each node reads the list once per second, at an offset of its own.
-                if !self.cut_off[index] && step % 20 == index * 3 {
+                if !self.partitioned[index] && step % 20 == index * 3 {
                     self.read(index);
                 }
                 for DueProbe { addr, .. } in self.nodes[index].take_due(self.now) {
@@ -364,8 +364,8 @@
         match step {
             Step::ToggleEntry(i) => self.entries[i] = !self.entries[i],
             Step::ToggleTarget(i) => self.targets[i] = !self.targets[i],
-            Step::CutOff(i) => self.cut_off[i] = true,
-            Step::Reconnect(i) => self.cut_off[i] = false,
+            Step::Partition(i) => self.partitioned[i] = true,
+            Step::Reconnect(i) => self.partitioned[i] = false,
             Step::Pause(i) => self.paused[i] = true,
             Step::Resume(i) => self.paused[i] = false,
             Step::Restart(i) => {
@@ -387,7 +387,7 @@
 
     /// Guards against a new watcher that starts before the old one has stopped: an
     /// upstream would be probed by three nodes for a while. Entry nodes come, go,
-    /// pause, restart and lose the platform in any order, while the upstreams, and
+    /// pause, restart and are partitioned from the platform in any order, while the upstreams, and
     /// so their shares, do not change. No window as long as a watcher's interval
     /// may then hold more probes of an upstream than it has watchers.
     #[test]
@@ -421,7 +421,7 @@
 
     /// Guards against nodes that act on different lists and probe upstreams more
     /// than the budget allows, while nodes and upstreams come and go and nodes
-    /// pause, restart or lose the platform. Every probe is recorded. The oracle
+    /// pause, restart or are partitioned from the platform. Every probe is recorded. The oracle
     /// knows only the budget: in any window, the probes of a service are at most
     /// the budget for that time and one more per watcher of each upstream.
     #[test]
