--- a/crates/quarantine/src/crash_detector.rs
+++ b/crates/quarantine/src/crash_detector.rs
@@ -1,4 +1,4 @@
-//! Finds the requests that were under way at an upstream when it crashed.
+//! Finds the requests that were in flight at an upstream when it crashed.
 
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -10,12 +10,12 @@
 
 use crate::{ContentKey, FindingVersion};
 
-/// A lost response counts as evidence of a crash that is detected within this time. A crash shows
-/// within it, because the upstream gets trials, which connect to it again.
+/// A lost response counts as evidence of a crash if the crash is detected within this time. That is
+/// long enough, because the upstream gets trial requests, which connect to it again.
 const LOST_RESPONSE_TTL: Duration = Duration::from_secs(2);
 
-/// How long a crash is remembered. Responses lost with it are noticed within a round trip; for a
-/// request that waited on a slow link it may take a little longer.
+/// How long a crash is remembered. Responses lost with it are noticed within a round trip, or a
+/// little later if the request waited on a slow link.
 const CRASH_TTL: Duration = Duration::from_secs(5);
 
 /// Maximum number of lost responses remembered for one upstream; no upstream runs as many requests
--- a/crates/quarantine/src/finding.rs
+++ b/crates/quarantine/src/finding.rs
@@ -7,13 +7,15 @@
 
 use crate::{ContentKey, Start, UnixMs};
 
-/// A request is quarantined from this many consecutive crashes and this many crashed upstreams on.
+/// A request is quarantined after at least this many consecutive crashes and crashed upstreams, or
+/// after at least `MIN_QUARANTINE_WAVES_ALONE` consecutive crashes of any number of upstreams.
 ///
 /// When all upstreams of a zone end at once, several of them run copies of a popular request: these
 /// count as one in a sequence of crashes, however many upstreams ended. A second crash in the
 /// sequence, of a copy sent when the first crash was known, is no such coincidence. Three upstreams
 /// are the most that the users accept to lose before the request is kept from the rest. With fewer
-/// upstreams, which restart under the same key, a third consecutive crash is evidence enough.
+/// upstreams, or upstreams that restart under the same key, a third consecutive crash is evidence
+/// enough.
 const MIN_QUARANTINE_WAVES: u8 = 2;
 const MIN_QUARANTINE_CRASHED: usize = 3;
 const MIN_QUARANTINE_WAVES_ALONE: u8 = 3;
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,11 +1,11 @@
 //! Detects requests that crash the upstreams that run them and keeps them from the other upstreams.
 //!
 //! A request that crashes the process of any upstream that runs it is resent by its entry node, by
-//! its caller and by the next client that makes it. It takes down one upstream after the other, and
-//! with each of them the unrelated requests that ran there.
+//! its caller and by the next client that makes it. It crashes one upstream after the other, and
+//! the unrelated requests that run there are lost with each of them.
 //!
 //! Attempts carry distinct ids; [`ContentKey`] identifies those that are the same request.
-//! [`CrashDetector`] finds out which requests were under way at an upstream when it crashed.
+//! [`CrashDetector`] finds out which requests were in flight at an upstream when it crashed.
 //! [`Quarantine`] knows which of them crashed upstreams before, on any node, and decides which
 //! requests are sent isolated from others or not at all. Nodes exchange [`Finding`]s. A response
 //! clears a request.
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -30,7 +30,7 @@
 /// How long a request whose quarantine is over is remembered if no caller sends it.
 const EXPIRED_QUARANTINE_TTL: Duration = Duration::from_secs(24 * 3_600);
 
-/// Retry delay for a caller whose request has another copy under way at this node.
+/// Retry delay for a caller whose request has another copy in flight at this node.
 const CONCURRENT_COPY_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Retry delay for a caller of a node that leaves the trial of the request to another node.
@@ -77,7 +77,7 @@
     /// The request is sent like any other.
     Allow,
     /// An upstream crashed while it ran the request. The request is sent to an upstream at which no
-    /// other suspected request of this node runs, so that a further crash identifies the culprit.
+    /// other suspected request of this node runs, so that a further crash identifies the cause.
     Isolate,
     /// The request is not sent; its caller may retry after the given time.
     Reject(Duration),
@@ -113,10 +113,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     table: HashMap<ContentKey, Entry>,
-    /// Copies of suspected requests under way, by request and by upstream.
+    /// Number of copies of suspected requests in flight, by request and by upstream.
     attempts_by_content: HashMap<ContentKey, u32>,
     attempts_by_start: HashMap<Start, u32>,
-    /// Requests that got a response recently. Callers record none while no request is on record.
+    /// Requests that got a response recently. Callers need not record responses while `table` is
+    /// empty.
     recent_responses: VecDeque<(ContentKey, UnixMs)>,
     /// Findings to be announced to other nodes.
     new_findings: Vec<NewFinding>,
@@ -141,7 +142,7 @@
         now: UnixMs,
     ) -> Decision {
         let Some(Entry { finding, .. }) = self.table.get(&content) else { return Decision::Allow };
-        let is_under_way = self.attempts_by_content.contains_key(&content);
+        let is_in_flight = self.attempts_by_content.contains_key(&content);
         let left = Duration::from_millis(finding.until_unix_ms.saturating_sub(now));
         let until_trial = match finding.waves <= MAX_WAVES_BEFORE_TRIAL {
             true => left.saturating_sub(MIN_QUARANTINE_TTL - FIRST_TRIAL_DELAY),
@@ -152,7 +153,7 @@
             true if !until_trial.is_zero() => Decision::Reject(until_trial),
             true if !may_try() => Decision::Reject(OTHER_NODE_TRIAL_RETRY_DELAY),
             false if left.is_zero() => Decision::Allow,
-            _ if finding.waves > 1 && is_under_way => Decision::Reject(CONCURRENT_COPY_RETRY_DELAY),
+            _ if finding.waves > 1 && is_in_flight => Decision::Reject(CONCURRENT_COPY_RETRY_DELAY),
             _ => Decision::Isolate,
         }
     }
@@ -184,7 +185,7 @@
         })
     }
 
-    /// Counts a copy of a suspected request as under way at an upstream.
+    /// Counts a copy of a suspected request as in flight at an upstream.
     pub fn begin_attempt(&mut self, content: ContentKey, start: Start) {
         *self.attempts_by_content.entry(content).or_default() += 1;
         *self.attempts_by_start.entry(start).or_default() += 1;
@@ -367,7 +368,8 @@
         self.first_crashes.push_back(now);
     }
 
-    /// Returns true while first crashes are so many that upstreams end for a reason of their own.
+    /// Returns true while there are so many first crashes that upstreams must be ending for a
+    /// reason other than the requests.
     fn is_mass_crash(&self, now: UnixMs) -> bool {
         let since = now.saturating_sub(as_ms(FIRST_CRASH_WINDOW));
         self.first_crashes.iter().filter(|at| **at >= since).count() > MAX_FIRST_CRASHES
--- a/crates/quarantine/src/quarantine/tests.rs
+++ b/crates/quarantine/src/quarantine/tests.rs
@@ -127,8 +127,8 @@
     assert_eq!(one.decide(content("a"), || false, NOW + 5_000), Decision::Isolate);
 }
 
-/// Guards against quarantining a harmless request: one copy gets a response while another is under
-/// way, and then the upstream of the other copy crashes.
+/// Guards against quarantining a harmless request: one copy gets a response while another is in
+/// flight, and then the upstream of the other copy crashes.
 #[test]
 fn a_crash_of_a_copy_sent_before_a_response_does_not_count() {
     let mut quarantine = Quarantine::default();
--- a/crates/quarantine/src/reservations.rs
+++ b/crates/quarantine/src/reservations.rs
@@ -1,10 +1,10 @@
 //! Reserves upstreams for requests with several consecutive crashes, so that each runs isolated.
 //!
-//! When an upstream crashes while two suspected requests are under way, nodes resend both at the
-//! same moment. Were the upstream chosen for each request separately, both could reach the same
-//! upstream again, and once more after that; the harmless one would then look just like the
-//! crashing one. Nodes that know the same requests and list the same upstreams compute the same
-//! reservations without communication.
+//! When an upstream crashes while two suspected requests are in flight there, nodes resend both at
+//! the same moment. Were the upstream chosen for each request separately, both could reach the same
+//! upstream again and again; the harmless one would then look just like the crashing one. Nodes
+//! that know the same requests and list the same upstreams compute the same reservations without
+//! communication.
 
 use std::collections::HashMap;
 
