--- a/crates/notice/src/backpressure.rs
+++ b/crates/notice/src/backpressure.rs
@@ -1,4 +1,4 @@
-//! The backpressure in force for each upstream instance.
+//! The backpressure in force for each incarnation of an upstream.
 
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -15,7 +15,7 @@
 /// Longest retry delay given to a caller whose request no upstream may get now.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Maximum number of upstream instances tracked; the least recently updated one is evicted.
+/// Maximum number of incarnations of upstreams tracked; the least recently updated one is evicted.
 const MAX_TRACKED_UPSTREAMS: usize = 4_096;
 
 /// How long an upstream counts as leaving after it said so. Where nothing distinguishes a restarted
@@ -34,7 +34,8 @@
 /// A change of an upstream's backpressure, caused by a response or by a peer's notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The upstream limits the request rate from all nodes together to this.
+    /// The upstream limits the request rate from all nodes together to this, in requests per 1,000
+    /// seconds.
     Limited(PerKs),
     /// The upstream has no limit any more.
     Unlimited,
@@ -44,27 +45,28 @@
     Staying,
     /// The upstream asked this node to send it nothing for this long.
     Resting(Duration),
-    /// The upstream has answered a request sent after its backoff.
+    /// The upstream has responded to a request sent after its backoff.
     Rested,
 }
 
 /// One statement of an upstream about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Statement {
-    /// Request rate that it accepts from all nodes together; `None` when it no longer states a limit.
+    /// Request rate that it accepts from all nodes together, in requests per 1,000 seconds; `None`
+    /// when it no longer states a limit.
     Limit(Option<PerKs>),
     /// Whether it is about to leave.
     Leaving(bool),
 }
 
-/// A statement of an upstream, as nodes pass it on to each other. Of two statements of the same kind the
-/// later one counts.
+/// A statement of an upstream, as nodes pass it on to each other. Of two statements of the same
+/// kind the later one counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// The upstream instance.
+    /// The incarnation of the upstream.
     pub start: Start,
-    /// When it made the statement, in milliseconds since the Unix epoch, by the clock of the node that
-    /// received it.
+    /// When it made the statement, in milliseconds since the Unix epoch, by the clock of the node
+    /// that received it.
     #[serde(rename = "said_unix_ms")]
     pub stated_unix_ms: UnixMs,
     /// The statement.
@@ -73,7 +75,8 @@
 }
 
 impl Notice {
-    /// Returns true when both notices are about the same upstream instance and the same kind of statement.
+    /// Returns true when both notices are about the same incarnation and the same kind of
+    /// statement, so that only the later one counts.
     pub fn replaces(&self, other: &Notice) -> bool {
         let is_same =
             std::mem::discriminant(&self.statement) == std::mem::discriminant(&other.statement);
@@ -97,22 +100,24 @@
     pub limit_per_ks: Option<PerKs>,
     /// This node's share of the limit, in requests per second; 0 without a limit.
     pub share_per_s: f64,
-    /// Whether the upstream is leaving.
+    /// Whether the upstream is leaving; it gets no requests then.
     pub leaving: bool,
-    /// Time until this node may send to it again, in milliseconds.
+    /// Time until the backoff that the upstream asked this node for ends, in milliseconds; 0
+    /// without one.
     pub rest_ms: u64,
 }
 
 /// Whether an upstream is leaving.
 #[derive(Clone, Copy, Debug)]
 struct Leaving {
-    leaves: bool,
+    is_leaving: bool,
     stated_unix_ms: UnixMs,
     received_at: Instant,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
+    /// When this node last received a signal or a notice.
     received_at: Instant,
     limit: Option<Limit>,
     leaving: Option<Leaving>,
@@ -124,20 +129,20 @@
         self.limit.get_or_insert_with(|| Limit::new(now))
     }
 
-    fn leaves(&self, now: Instant) -> bool {
+    fn is_leaving(&self, now: Instant) -> bool {
         let in_force =
-            |leaving: &Leaving| leaving.leaves && now < leaving.received_at + LEAVING_TTL;
+            |leaving: &Leaving| leaving.is_leaving && now < leaving.received_at + LEAVING_TTL;
         self.leaving.as_ref().is_some_and(in_force)
     }
 
     /// Records whether the upstream is leaving; returns true when that is a change.
-    fn set_leaving(&mut self, leaves: bool, stated_unix_ms: UnixMs, now: Instant) -> bool {
-        let is_change = self.leaves(now) != leaves;
-        self.leaving = Some(Leaving { leaves, stated_unix_ms, received_at: now });
+    fn set_leaving(&mut self, is_leaving: bool, stated_unix_ms: UnixMs, now: Instant) -> bool {
+        let is_change = self.is_leaving(now) != is_leaving;
+        self.leaving = Some(Leaving { is_leaving, stated_unix_ms, received_at: now });
         is_change
     }
 
-    /// Drops what has expired; returns true when anything is left.
+    /// Drops the expired limit, leaving state and backoff; returns true when any is left.
     fn expire(&mut self, now: Instant) -> bool {
         self.limit.take_if(|limit| limit.has_expired(now));
         self.leaving.take_if(|leaving| now >= leaving.received_at + LEAVING_TTL);
@@ -158,8 +163,8 @@
 }
 
 impl Backpressure {
-    /// Creates an empty instance. `node_seed` selects the node's backoff jitter and should differ between
-    /// nodes.
+    /// Creates an empty instance. `node_seed` selects the node's backoff jitter and should differ
+    /// between nodes.
     pub fn with_node_seed(node_seed: u64) -> Backpressure {
         Backpressure { node_seed, ..Backpressure::default() }
     }
@@ -170,12 +175,12 @@
         self.entries.is_empty()
     }
 
-    /// Applies the signals of a response of `start` to a request sent at `request_sent_at`; `None` for
-    /// responses that need not carry all signals, such as those to probes. Returns the changes.
+    /// Applies the signals of a response of `start` to a request sent at `request_sent_at`; `None`
+    /// for responses that need not carry all signals, such as those to probes. Returns the changes.
     ///
     /// A response without a limit ends the limit only if its request was sent after the limit was
-    /// received, since responses overtake each other. A response that does not say that the upstream is
-    /// leaving does not revoke an earlier one that did.
+    /// received, since responses overtake each other. A response that does not say that the
+    /// upstream is leaving does not revoke an earlier one that did.
     pub fn apply_signals(
         &mut self,
         start: Start,
@@ -246,7 +251,7 @@
         let limit = self.entry(start, now.at).limit(now.at);
         let update = limit.update(per_ks, now);
         let stated_unix_ms = limit.stated_unix_ms();
-        if update.is_announced {
+        if update.must_announce {
             let notice = Notice { start, stated_unix_ms, statement: Statement::Limit(per_ks) };
             self.new_notices.push(NewNotice { notice, is_change: update.is_change });
         }
@@ -258,26 +263,27 @@
         is_change.then(|| per_ks.map_or(Change::Unlimited, Change::Limited))
     }
 
-    /// Records that an upstream is leaving, or that it has restarted and stays, and queues a notice when
-    /// that is a change.
-    fn record_leaving(&mut self, start: Start, leaves: bool, now: Moment) -> Option<Change> {
+    /// Records that an upstream is leaving, or that it has restarted and stays, and queues a notice
+    /// when that is a change.
+    fn record_leaving(&mut self, start: Start, is_leaving: bool, now: Moment) -> Option<Change> {
         let entry = self.entry(start, now.at);
         let last_unix_ms = entry.leaving.map_or(0, |leaving| leaving.stated_unix_ms);
         let stated_unix_ms = now.unix_ms.max(last_unix_ms.saturating_add(1));
-        let is_change = entry.set_leaving(leaves, stated_unix_ms, now.at);
+        let is_change = entry.set_leaving(is_leaving, stated_unix_ms, now.at);
         if is_change {
-            let notice = Notice { start, stated_unix_ms, statement: Statement::Leaving(leaves) };
+            let notice =
+                Notice { start, stated_unix_ms, statement: Statement::Leaving(is_leaving) };
             self.new_notices.push(NewNotice { notice, is_change });
         }
-        is_change.then_some(if leaves { Change::Leaving } else { Change::Staying })
+        is_change.then_some(if is_leaving { Change::Leaving } else { Change::Staying })
     }
 
-    /// Ends the leaving state of an upstream after a response, to a request sent at `request_sent_at`,
-    /// that did not say that the upstream is leaving; has no effect when the leaving state was received
-    /// after that request was sent.
+    /// Ends the leaving state of an upstream after a response, to a request sent at
+    /// `request_sent_at`, that did not say that the upstream is leaving; has no effect when the
+    /// leaving state was received after that request was sent.
     ///
-    /// For use only where nothing distinguishes a restarted process from the earlier one, and where every
-    /// response of a leaving upstream says that it is leaving.
+    /// For use only where nothing distinguishes a restarted process from the earlier one, and where
+    /// every response of a leaving upstream says that it is leaving.
     pub fn clear_leaving(
         &mut self,
         start: Start,
@@ -286,7 +292,7 @@
     ) -> Option<Change> {
         let entry = self.entries.get(&start)?;
         let is_earlier = |leaving: &Leaving| leaving.received_at < request_sent_at;
-        match entry.leaves(now.at) && entry.leaving.as_ref().is_some_and(is_earlier) {
+        match entry.is_leaving(now.at) && entry.leaving.as_ref().is_some_and(is_earlier) {
             true => self.record_leaving(start, false, now),
             false => None,
         }
@@ -305,7 +311,7 @@
             {
                 return None
             }
-            Statement::Leaving(leaves) => entry.set_leaving(leaves, stated_unix_ms, now.at),
+            Statement::Leaving(is_leaving) => entry.set_leaving(is_leaving, stated_unix_ms, now.at),
         };
         self.new_notices.push(NewNotice { notice: notice.clone(), is_change });
         match statement {
@@ -333,12 +339,14 @@
         std::mem::take(&mut self.new_notices)
     }
 
-    /// Marks the shares of the limits as outdated, since the set of nodes that may send has changed.
+    /// Marks the shares of the limits as outdated, since the set of nodes that may send has
+    /// changed.
     pub fn nodes_changed(&mut self) {
         self.shares_outdated = !self.entries.is_empty();
     }
 
-    /// Returns true when [`Backpressure::update_shares`] has to be called before the next request is sent.
+    /// Returns true when [`Backpressure::update_shares`] has to be called before the next request
+    /// is sent.
     pub fn shares_outdated(&self) -> bool {
         self.shares_outdated
     }
@@ -356,7 +364,7 @@
     /// Returns true when an upstream may get a request from this node now.
     pub fn may_send(&self, start: Start, now: Instant) -> bool {
         let Some(entry) = self.entries.get(&start) else { return true };
-        !entry.leaves(now)
+        !entry.is_leaving(now)
             && entry.limit.as_ref().is_none_or(|limit| limit.allows(now))
             && entry.backoff.is_none_or(|backoff| backoff.allows(now))
     }
@@ -372,8 +380,8 @@
         }
     }
 
-    /// Returns the time until the first of `starts`, none of which may get a request now, may get one from
-    /// this node; `None` when that is not known for any of them.
+    /// Returns the time until the first of `starts`, none of which may get a request now, may get
+    /// one from this node; `None` when that is not known for any of them.
     ///
     /// The result is at most [`MAX_RETRY_AFTER`], since other nodes may be allowed to send earlier.
     pub fn retry_after(
@@ -386,10 +394,10 @@
         Some(available_at.saturating_duration_since(now).min(MAX_RETRY_AFTER))
     }
 
-    /// Returns when an upstream that may not get a request now may get one from this node; `None` when
-    /// that is not known.
+    /// Returns when an upstream that may not get a request now may get one from this node; `None`
+    /// when that is not known.
     pub fn available_at(&self, start: Start, now: Instant) -> Option<Instant> {
-        let entry = self.entries.get(&start).filter(|entry| !entry.leaves(now))?;
+        let entry = self.entries.get(&start).filter(|entry| !entry.is_leaving(now))?;
         let limit = entry.limit.as_ref().filter(|limit| !limit.allows(now));
         let backoff_ends_at = entry.backoff.map(|backoff| backoff.until());
         match limit {
@@ -400,10 +408,10 @@
 
     /// Returns true while an upstream counts as leaving.
     pub fn is_leaving(&self, start: Start, now: Instant) -> bool {
-        self.entries.get(&start).is_some_and(|entry| entry.leaves(now))
+        self.entries.get(&start).is_some_and(|entry| entry.is_leaving(now))
     }
 
-    /// Drops what has expired.
+    /// Drops expired backpressure.
     pub fn expire(&mut self, now: Instant) {
         self.entries.retain(|_, entry| entry.expire(now));
     }
@@ -416,10 +424,11 @@
 
     /// Returns the number of upstreams that are leaving.
     pub fn leaving_count(&self, now: Instant) -> usize {
-        self.entries.values().filter(|entry| entry.leaves(now)).count()
+        self.entries.values().filter(|entry| entry.is_leaving(now)).count()
     }
 
-    /// Returns the number of upstreams that this node sends nothing because they asked for a backoff.
+    /// Returns the number of upstreams that this node sends nothing because they asked for a
+    /// backoff.
     pub fn backoff_count(&self, now: Instant) -> usize {
         let backoffs = self.entries.values().filter_map(|entry| entry.backoff.as_ref());
         backoffs.filter(|backoff| !backoff.is_over(now)).count()
@@ -432,7 +441,7 @@
         let status = BackpressureStatus {
             limit_per_ks: limit.and_then(|limit| limit.current(now)),
             share_per_s: limit.map_or(0.0, Limit::share_per_s),
-            leaving: entry.leaves(now),
+            leaving: entry.is_leaving(now),
             rest_ms: entry.backoff.map_or(0, |backoff| {
                 backoff.until().saturating_duration_since(now).as_millis() as u64
             }),
--- a/crates/notice/src/backpressure/tests.rs
+++ b/crates/notice/src/backpressure/tests.rs
@@ -37,8 +37,8 @@
     backpressure.status(start(), now).and_then(|status| status.limit_per_ks)
 }
 
-/// Guards against a limit that is ended by a response to an earlier request, which a later response has
-/// overtaken, or by a response to a probe.
+/// Guards against a limit that is ended by a response to an earlier request, which a later response
+/// has overtaken, or by a response to a probe.
 #[test]
 fn only_a_response_to_a_later_request_ends_a_limit() {
     let (clock, mut backpressure) = (clock(), Backpressure::default());
@@ -63,9 +63,10 @@
     assert!(backpressure.may_send(start(), clock.at(90)));
 }
 
-/// Guards against a limit that still applies to an upstream after its restart, or to another upstream.
+/// Guards against a limit that still applies to an upstream after its restart, or to another
+/// upstream.
 #[test]
-fn a_limit_applies_to_one_instance() {
+fn a_limit_applies_to_one_incarnation() {
     let (clock, mut backpressure) = (clock(), Backpressure::default());
     backpressure.apply_signals(start(), &limited(0), None, clock.moment(0));
     assert!(!backpressure.may_send(start(), clock.at(0)));
@@ -73,7 +74,8 @@
     assert!(backpressure.may_send(Start::of("u2", 1), clock.at(0)));
 }
 
-/// Guards against a limit that never ends because it lets no node send a request that would show its end.
+/// Guards against a limit that never ends because it lets no node send a request that would show
+/// its end.
 #[test]
 fn a_limit_that_is_not_repeated_expires() {
     let (clock, mut backpressure) = (clock(), Backpressure::default());
@@ -85,8 +87,8 @@
     assert!(backpressure.is_empty());
 }
 
-/// Guards against nodes that learn of a limit only from the upstream itself, and against notices that are
-/// sent again without end.
+/// Guards against nodes that learn of a limit only from the upstream itself, and against notices
+/// that are sent again without end.
 #[test]
 fn peers_learn_of_a_limit_and_of_its_end() {
     let (clock, mut one, mut other) = (clock(), Backpressure::default(), Backpressure::default());
@@ -135,7 +137,8 @@
     assert_eq!(limit_of(&other, later), Some(1_100));
 }
 
-/// Guards against a peer whose clock is years ahead: a response of the upstream itself takes precedence.
+/// Guards against a peer whose clock is years ahead: a response of the upstream itself takes
+/// precedence.
 #[test]
 fn a_response_overrides_a_notice_from_the_future() {
     let (clock, mut backpressure) = (clock(), Backpressure::default());
@@ -152,8 +155,8 @@
     Signals { leaving: Field::Value(true), ..Signals::default() }
 }
 
-/// Guards against a leaving state that is ended by a response that does not repeat it, by a limit, or by
-/// an older notice of a peer.
+/// Guards against a leaving state that is ended by a response that does not repeat it, by a limit,
+/// or by an older notice of a peer.
 #[test]
 fn a_leaving_upstream_gets_no_more_requests() {
     let (clock, mut backpressure) = (clock(), Backpressure::default());
@@ -205,7 +208,8 @@
     Signals { backoff: Field::Value(Duration::from_secs(seconds)), ..Signals::default() }
 }
 
-/// Guards against a backoff that is cut short by a shorter one, or by a response to an earlier request.
+/// Guards against a backoff that is cut short by a shorter one, or by a response to an earlier
+/// request.
 #[test]
 fn of_overlapping_backoffs_the_latest_end_counts() {
     let (clock, mut backpressure) = (clock(), Backpressure::default());
@@ -226,8 +230,8 @@
     assert_eq!(backpressure.take_new_notices(), vec![], "a backoff applies to this node only");
 }
 
-/// Guards against a burst of requests at the end of a backoff, and against a lost trial request that keeps
-/// the backoff from ending.
+/// Guards against a burst of requests at the end of a backoff, and against a lost trial request
+/// that keeps the backoff from ending.
 #[test]
 fn one_trial_request_follows_a_backoff() {
     let (clock, mut backpressure) = (clock(), Backpressure::default());
--- a/crates/notice/src/limit.rs
+++ b/crates/notice/src/limit.rs
@@ -7,8 +7,8 @@
 use crate::share::Bucket;
 use crate::{Moment, PerKs};
 
-/// How long a limit stays in force after this node last received it. A limit may keep every node from
-/// sending, and then no response can show that it has ended.
+/// How long a limit stays in force after this node last received it. A limit may keep every node
+/// from sending, and then no response can show that it has ended.
 pub(crate) const LIMIT_TTL: Duration = Duration::from_secs(30);
 
 /// Interval at which a node that keeps receiving an unchanged limit repeats it to its peers.
@@ -21,18 +21,20 @@
 pub(crate) struct LimitUpdate {
     /// Whether the limit in force has changed.
     pub(crate) is_change: bool,
-    /// Whether the limit is to be sent to peers.
-    pub(crate) is_announced: bool,
+    /// Whether the limit must be sent to peers now.
+    pub(crate) must_announce: bool,
 }
 
 /// The limit of one upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Limit {
-    /// `None` after the limit has ended. The entry is kept so that older notices of peers are ignored.
+    /// `None` after the limit has ended. The entry is kept so that older notices of peers are
+    /// ignored.
     per_ks: Option<PerKs>,
     stated_unix_ms: UnixMs,
     /// When this node last received the limit.
     received_at: Instant,
+    /// When the limit was last sent to peers, or received from one.
     announced_at: Option<Instant>,
     bucket: Bucket,
 }
@@ -68,8 +70,8 @@
     /// Applies a statement of the upstream itself.
     pub(crate) fn update(&mut self, per_ks: Option<PerKs>, now: Moment) -> LimitUpdate {
         let is_change = self.current(now.at) != per_ks;
-        // The clock that stamped the previous statement, this node's or another's, may have been ahead.
-        // The new statement must still count as the later one.
+        // The clock that stamped the previous statement, this node's or another's, may have been
+        // ahead. The new statement must still count as the later one.
         self.stated_unix_ms = now.unix_ms.max(self.stated_unix_ms.saturating_add(1));
         self.per_ks = per_ks;
         self.received_at = now.at;
@@ -78,18 +80,18 @@
             false => REPEAT_INTERVAL,
         };
         let is_due = self.announced_at.is_none_or(|at| now.at >= at + interval);
-        let is_announced = match per_ks {
+        let must_announce = match per_ks {
             Some(_) => is_due,
             None => is_change,
         };
-        if is_announced {
+        if must_announce {
             self.announced_at = Some(now.at);
         }
-        LimitUpdate { is_change, is_announced }
+        LimitUpdate { is_change, must_announce }
     }
 
-    /// Applies a peer's notice; returns whether the limit has changed, or `None` when the notice is not
-    /// newer than what this node knows.
+    /// Applies a peer's notice; returns whether the limit has changed, or `None` when the notice is
+    /// not newer than what this node knows.
     pub(crate) fn apply_notice(
         &mut self,
         per_ks: Option<PerKs>,
@@ -107,7 +109,8 @@
         Some(is_change)
     }
 
-    /// Sets this node's rate to its share, in requests per second, of the limit for all nodes together.
+    /// Sets this node's rate to its share, in requests per second, of the limit for all nodes
+    /// together.
     pub(crate) fn update_share(&mut self, share: impl Fn(PerKs) -> Option<f64>, now: Instant) {
         self.bucket.set_rate(self.per_ks.and_then(share), now);
     }
--- a/crates/notice/src/share.rs
+++ b/crates/notice/src/share.rs
@@ -1,12 +1,13 @@
 //! Which nodes send to a rate-limited upstream, and at what rate each.
 //!
-//! An upstream may tell hundreds of nodes that it takes one request per second from all of them. At one
-//! per second each, it gets hundreds; if each node saves up a small fraction, the saved requests arrive
-//! in one burst.
+//! An upstream may tell hundreds of nodes that it takes one request per second from all of them
+//! together. If each node sends one per second, it gets hundreds; if each node accumulates a small
+//! fraction of a request, the requests of all nodes arrive in one burst.
 //!
-//! Therefore a few nodes own each upstream and share its limit, and the others send it nothing. Every
-//! node computes the same owners on its own, so no node needs to know what another has sent. While nodes
-//! disagree about which nodes exist, there may be too many owners; the tolerance of upstreams covers that.
+//! Therefore a few nodes own each upstream and share its limit, and the others send it nothing.
+//! Every node computes the same owners on its own, so no node needs to know what another has sent.
+//! While nodes disagree about which nodes exist, there may be too many owners; the tolerance of
+//! upstreams covers that.
 
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -18,7 +19,8 @@
 
 use crate::PerKs;
 
-/// Minimum number of owners of an upstream, if there are as many nodes: one may have died unnoticed.
+/// Minimum number of owners of an upstream, if there are as many nodes: one may have died
+/// unnoticed.
 const MIN_OWNERS: usize = 2;
 
 /// Longest time for which an idle owner accumulates unused requests; it can always accumulate one.
@@ -31,14 +33,14 @@
     pub me: (SocketAddr, &'a str),
     /// Addresses and availability zones of the other live nodes.
     pub others: Vec<(SocketAddr, &'a str)>,
-    /// Availability zones of upstreams. Nodes of other zones send to an upstream when their own zone's
-    /// upstreams are full.
+    /// Availability zones of upstreams. Nodes of other zones send to an upstream when their own
+    /// zone's upstreams are full.
     pub zones: HashMap<Start, &'a str>,
 }
 
 impl Fleet<'_> {
-    /// Returns the requests per second that this node may send to an upstream that takes `per_ks` from all
-    /// nodes together; `None` when this node is not an owner.
+    /// Returns the requests per second that this node may send to an upstream that takes `per_ks`
+    /// from all nodes together; `None` when this node is not an owner.
     pub fn share(&self, start: Start, per_ks: PerKs) -> Option<f64> {
         let own_rank = self.rank(self.me, start);
         let is_ahead = |other: &&(SocketAddr, &str)| self.rank(**other, start) < own_rank;
@@ -48,8 +50,8 @@
         (ahead < owners).then(|| per_s / owners as f64)
     }
 
-    /// Returns a node's rank for an upstream; the lowest ranks own it. Nodes in the upstream's zone rank
-    /// first.
+    /// Returns a node's rank for an upstream; the lowest ranks own it. Nodes in the upstream's zone
+    /// rank first.
     fn rank(&self, (addr, zone): (SocketAddr, &str), start: Start) -> (bool, u64) {
         let mut hasher = SipHasher13::new();
         (start, addr).hash(&mut hasher);
@@ -66,8 +68,8 @@
 }
 
 impl Bucket {
-    /// Creates an empty bucket with rate 0. It starts empty because this node may replace another owner
-    /// that has just sent.
+    /// Creates an empty bucket with rate 0. It starts empty because this node may replace another
+    /// owner that has just sent.
     pub(crate) fn new(now: Instant) -> Bucket {
         Bucket { per_s: 0.0, tokens: 0.0, updated_at: now }
     }
--- a/crates/notice/src/share/tests.rs
+++ b/crates/notice/src/share/tests.rs
@@ -7,8 +7,8 @@
 
 use super::{Bucket, Fleet};
 
-/// Tolerance of an upstream: in any window of `WINDOW_MS` it accepts up to `OVERSHOOT_RATIO` times its
-/// limit plus `SLACK_REQUESTS`.
+/// Tolerance of an upstream: in any window of `WINDOW_MS` it accepts up to `OVERSHOOT_RATIO` times
+/// its limit plus `SLACK_REQUESTS`.
 const WINDOW_MS: u64 = 4_000;
 const OVERSHOOT_RATIO: f64 = 1.5;
 const SLACK_REQUESTS: f64 = 5.0;
@@ -28,7 +28,8 @@
 struct Simulation {
     nodes: usize,
     per_s: f64,
-    /// Number of nodes that end halfway; the others detect it one after another within five seconds.
+    /// Number of nodes that end halfway; the others detect it one after another within five
+    /// seconds.
     dying: usize,
     /// Ratio of the other nodes that a node does not know of.
     unknown_ratio: f64,
@@ -89,8 +90,8 @@
     sent.iter().enumerate().map(|(index, from)| ends(from) - index).max().unwrap_or(0)
 }
 
-/// Guards against nodes that together exceed what an upstream tolerates, and against keeping to a limit
-/// by sending almost nothing.
+/// Guards against nodes that together exceed what an upstream tolerates, and against keeping to a
+/// limit by sending almost nothing.
 #[yare::parameterized(
     sixteen_nodes_at_less_than_one = { 16, 0.3, 0, 0.0 },
     sixteen_nodes_at_one = { 16, 1.0, 0, 0.0 },
--- a/crates/notice/src/signals.rs
+++ b/crates/notice/src/signals.rs
@@ -17,7 +17,7 @@
 pub struct HeaderNames {
     /// Request rate that the upstream accepts from all nodes together, in requests per second.
     pub limit: HeaderName,
-    /// 1 when the upstream is about to leave.
+    /// 1 when the upstream is about to leave, otherwise 0.
     pub leaving: HeaderName,
 }
 
@@ -36,7 +36,8 @@
 /// What one response states about the upstream that sent it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Signals {
-    /// Request rate that the upstream accepts from all nodes together.
+    /// Request rate that the upstream accepts from all nodes together, in requests per 1,000
+    /// seconds.
     pub limit: Field<PerKs>,
     /// Whether the upstream is about to leave.
     pub leaving: Field<bool>,
@@ -90,8 +91,8 @@
 }
 
 impl Signals {
-    /// Parses the signals of a response. `Retry-After` counts only with status 503 (Service Unavailable):
-    /// with other statuses it does not ask for a backoff.
+    /// Parses the signals of a response. `Retry-After` counts only with status 503 (Service
+    /// Unavailable): with other statuses it does not ask for a backoff.
     pub fn from_response(status: StatusCode, headers: &HeaderMap, names: &HeaderNames) -> Signals {
         let values = |name: &HeaderName| headers.get_all(name).iter().map(|value| value.as_bytes());
         let is_unavailable = status == StatusCode::SERVICE_UNAVAILABLE;
