--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! A change that the platform accepted must be in force on all nodes within a [`StalenessBound`]. A
 //! node cannot detect that it missed a change: a long poll may go silent without an error, and a
-//! peer may be alive and yet read nothing. What a node does know is the last time at which it knew
-//! everything. A [`Lease`] keeps that time and expires early enough for the node to read the
+//! peer may be alive and yet read nothing. What a node does know is the last time at which it had
+//! read everything. A [`Lease`] keeps that time and expires early enough for the node to read the
 //! platform itself within the bound. A node that reads through a peer gets the age of the peer's
 //! lease with each response and counts it from the time of its request, so that a slow response
 //! never makes the data look newer than it is.
 //!
-//! Of hundreds of nodes, a few wait for changes at the platform and pass them on to the rest.
+//! Of hundreds of nodes, a few long-poll the platform and relay the changes to the rest.
 
 use std::time::{Duration, Instant};
 
@@ -36,12 +36,13 @@
         StalenessBound(within.max(MIN_BOUND))
     }
 
-    /// Returns how long one wait for changes at the platform may last.
+    /// Returns the maximum duration of one long poll of the platform.
     pub fn long_poll_timeout(self) -> Duration {
         self.percent(LONG_POLL_TIMEOUT_PERCENT).min(MAX_LONG_POLL_TIMEOUT)
     }
 
-    /// Returns how late the response of a long poll may be before the poll is given up.
+    /// Returns how long after the end of a long poll its response may arrive before the poll is
+    /// given up.
     pub fn long_poll_grace(self) -> Duration {
         self.percent(LONG_POLL_GRACE_PERCENT)
     }
@@ -62,7 +63,7 @@
     /// `requested_at` was answered at `now`.
     ///
     /// An empty response says that nothing had changed by the end of the poll. Of any other
-    /// response only the arrival is known. It was under way for less than the grace period, or the
+    /// response only the arrival is known. It was in transit for less than the grace period, or the
     /// poll would have been given up.
     pub fn as_of(self, requested_at: Instant, now: Instant, is_empty: bool) -> Instant {
         let sent_at = match is_empty {
--- a/crates/lease/src/tests.rs
+++ b/crates/lease/src/tests.rs
@@ -31,7 +31,8 @@
 }
 
 proptest! {
-    /// A reader recovers from one silent long poll before its subscribers turn to the platform.
+    /// A reader recovers from one silent long poll before the leases of its subscribers expire and
+    /// they read the platform themselves.
     #[test]
     fn subscribers_outlast_one_silent_poll_of_their_reader(within_ms in 1_000u64..60_000) {
         let bound = StalenessBound::new(ms(within_ms));
@@ -64,18 +65,18 @@
         prop_assert!(up_to_date_at <= changed_at + within);
     }
 
-    /// A response vouches for no time after its arrival and for none before its request, whether it
-    /// is empty or not.
+    /// The time as of which a response is valid is neither before its request nor after its
+    /// arrival, whether it is empty or not.
     #[test]
     fn a_response_is_as_of_a_time_between_request_and_arrival(
         within_ms in 1_000u64..60_000,
-        took_ms in 0u64..60_000,
+        elapsed_ms in 0u64..60_000,
         is_empty: bool,
     ) {
         let bound = StalenessBound::new(ms(within_ms));
-        let (requested_at, took) = (Instant::now(), ms(took_ms));
-        let as_of = bound.as_of(requested_at, requested_at + took, is_empty);
-        prop_assert!(as_of >= requested_at && as_of <= requested_at + took);
+        let (requested_at, elapsed) = (Instant::now(), ms(elapsed_ms));
+        let as_of = bound.as_of(requested_at, requested_at + elapsed, is_empty);
+        prop_assert!(as_of >= requested_at && as_of <= requested_at + elapsed);
     }
 
     /// A late or repeated response does not make the data look older.
