--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -46,7 +46,8 @@
     pub weight: f64,
 }
 
-/// A route.
+/// How requests with one path prefix are handled: the services they go to, their time limits and
+/// their retries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Name, unique in a table.
@@ -105,8 +106,8 @@
     pub probe_path: SmolStr,
     /// Maximum number of connections to one upstream from all entry nodes together.
     pub max_connections: u32,
-    /// Maximum rate, in requests per second from all entry nodes together, that one upstream can take while
-    /// it warms up; `None` for no bound.
+    /// Maximum rate, in requests per second from all entry nodes together, that one upstream can
+    /// take while it warms up; `None` for no limit.
     pub warm_up_per_s: Option<f64>,
 }
 
@@ -142,7 +143,7 @@
     pub version: Version,
     /// Version that its author based the change on; 0 when not stated.
     pub base_version: Version,
-    /// Limits for callers.
+    /// Limits on what callers send and how long they take, the same for all routes.
     pub limits: ClientLimits,
     /// Services by name.
     pub services: HashMap<ServiceName, Service>,
@@ -153,7 +154,8 @@
 }
 
 impl Table {
-    /// Creates a table from its routes, each with the host that it belongs to; hosts are not case-sensitive.
+    /// Creates a table from its routes, each with the host that it belongs to; hosts are not
+    /// case-sensitive.
     pub fn new(
         version: Version,
         limits: ClientLimits,
@@ -181,9 +183,9 @@
         self.hosts.get(host)?.iter().find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// Returns the regions in which the requests of a host may run. Of the routes that restrict their
-    /// regions, these are the regions that all allow or, if there are none, those that any allows. Returns
-    /// `None` when no route restricts its regions.
+    /// Returns the regions in which the requests of a host may run. Of the routes that restrict
+    /// their regions, these are the regions that all allow or, if there are none, those that any
+    /// allows. Returns `None` when no route restricts its regions.
     pub fn allowed_regions_of(&self, host: &str) -> Option<BTreeSet<&Region>> {
         let routes = self.hosts.get(host)?.iter().filter(|route| !route.allowed_regions.is_empty());
         let sets = routes.map(|route| route.allowed_regions.iter().collect::<BTreeSet<&Region>>());
@@ -199,8 +201,8 @@
         self.most_urgent.get(service).is_none_or(|priority| route.priority <= *priority)
     }
 
-    /// Returns the table as text for records and diffs: one line per service and route, in a fixed order,
-    /// then one line with the limits.
+    /// Returns the table as text for records and diffs: one line per service and route, in a fixed
+    /// order, then one line with the limits.
     pub fn to_text(&self) -> String {
         let mut lines: Vec<String> = self
             .services
--- a/crates/route/src/tests.rs
+++ b/crates/route/src/tests.rs
@@ -57,8 +57,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against a service that gets twice its share of a route's requests because each request is
-    /// assigned by an independent random choice.
+    /// Guards against a service that gets twice its share of a route's requests because each
+    /// request is assigned by an independent random choice.
     #[test]
     fn requests_are_distributed_by_weight(
         weights in prop::collection::vec(0u32..100, 2..5),
@@ -80,7 +80,10 @@
         for (assigned, weight) in assigned.iter().zip(&weights) {
             let share = requests as f64 * f64::from(*weight) / f64::from(total);
             let deviation = (*assigned as f64 - share).abs();
-            prop_assert!(deviation <= weights.len() as f64, "{assigned} of {requests}, expected {share}");
+            prop_assert!(
+                deviation <= weights.len() as f64,
+                "{assigned} of {requests}, expected {share}"
+            );
             prop_assert!(*weight > 0 || *assigned == 0);
         }
     }
