--- a/crates/place/src/admit/tests.rs
+++ b/crates/place/src/admit/tests.rs
@@ -112,8 +112,8 @@
 
 /// Guards against requests waiting in the queue of a slow upstream while another one gets a free
 /// slot first: all slots are busy for a moment, and a request arrives that has time to spare.
-/// Conversely, requests that can no longer be in time or that are already in flight must not be
-/// held.
+/// Conversely, requests that can no longer be in time or that are already in flight must not wait
+/// at the node.
 #[yare::parameterized(
     time_to_spare = { load(4, 0, 1.0), AdmissionRequest { rechecks: Some(0), ..REQUEST }, true },
     less_urgent = {
--- a/crates/place/src/evacuations.rs
+++ b/crates/place/src/evacuations.rs
@@ -69,7 +69,7 @@
         self.zones = zones;
     }
 
-    /// Adopts the zones held by another node, which has already decided what is in force.
+    /// Adopts the evacuated zones of another node, which has already decided what is in force.
     pub fn adopt_snapshot(&mut self, zones: BTreeSet<Zone>) {
         self.pending = None;
         self.replace(zones);
--- a/crates/place/src/retry_detector/tests.rs
+++ b/crates/place/src/retry_detector/tests.rs
@@ -23,7 +23,7 @@
     detector
 }
 
-/// Guards against nearly all requests being late in a burst although upstreams answer in time: a
+/// Guards against nearly all requests being late in a burst although upstreams respond in time: a
 /// caller that is refused and retries 400 ms later would be served before a new one, if its
 /// objective were counted from the second attempt.
 #[test]
--- a/crates/place/src/roster/tests.rs
+++ b/crates/place/src/roster/tests.rs
@@ -104,7 +104,7 @@
 /// Guards against sending requests to an upstream that left twelve seconds ago. A node is
 /// partitioned from the store, an upstream drains and leaves, the connection recovers, and the node
 /// finds the entry missing. The entry must be kept for two seconds from the last unanswered
-/// request, which may have been long before, and not from the first answer.
+/// request, which may have been long before, and not from the first response.
 #[test]
 fn an_entry_missing_after_a_partition_is_kept_from_the_last_unanswered_request() {
     let now = Instant::now();
