--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -43,13 +43,14 @@
 const FIRST_CRASH_ANNOUNCE_DELAY: Duration = Duration::from_millis(400);
 
 /// Upper bound of the additional delay, which differs per request. When many upstreams end at once,
-/// nodes hear of the first few requests before they would announce their own.
+/// nodes receive the first few announcements before they would send their own.
 const MAX_ANNOUNCE_JITTER: Duration = Duration::from_millis(300);
 
-/// When a node has seen or heard of more than this many first crashes within the window, it stops
-/// announcing first crashes: many upstreams are ending for a reason of their own, and every node
-/// has lost other requests with them. Announcing 1,200 requests of 312 nodes one by one kept these
-/// busy for minutes. A request that crashes upstreams is still announced after its second crash.
+/// When a node has detected or received more than this many first crashes within the window, it
+/// stops announcing first crashes: many upstreams are ending for a reason other than the requests,
+/// and every node has lost different requests with them. Announcing 1,200 requests of 312 nodes one
+/// by one kept these nodes busy for minutes. A request that crashes upstreams is still announced
+/// after its second crash.
 const MAX_FIRST_CRASHES: usize = 8;
 const FIRST_CRASH_WINDOW: Duration = Duration::from_secs(5);
 
@@ -121,7 +122,7 @@
     recent_responses: VecDeque<(ContentKey, UnixMs)>,
     /// Findings to be announced to other nodes.
     new_findings: Vec<NewFinding>,
-    /// When this node saw or heard of first crashes of requests.
+    /// When this node detected first crashes of requests or received findings of them.
     first_crashes: VecDeque<UnixMs>,
 }
 
