--- a/crates/place/src/retry_detector/tests.rs
+++ b/crates/place/src/retry_detector/tests.rs
@@ -10,8 +10,8 @@
 
 const KIND: SmolStr = SmolStr::new_static("browse");
 
-/// Returns a detector that has seen many first attempts of one kind, with deadlines of 1.0 to 1.2
-/// s.
+/// Returns a detector that has seen many first attempts of one kind, with deadlines of 1.0 s to
+/// 1.2 s.
 fn detector_after_first_attempts(rng: &mut StdRng) -> RetryDetector {
     let mut detector = RetryDetector::default();
     for _ in 0..200 {
@@ -23,7 +23,7 @@
     detector
 }
 
-/// Guards against nearly all requests being late in a burst although upstreams answer in time: a
+/// Guards against nearly all requests being late in a burst although upstreams respond in time: a
 /// caller that is refused and retries 400 ms later would be served before a new one, if its
 /// objective were counted from the second attempt.
 #[test]
