--- a/crates/edge/src/tests/allowed_regions.rs
+++ b/crates/edge/src/tests/allowed_regions.rs
@@ -33,22 +33,22 @@
     Table::new(version, ClientLimits::default(), services, vec![("seeds.example".into(), route)])
 }
 
-/// Starts a node in zone `a` in front of upstreams in `a` (region `north`) and `b` (region `south`), with
-/// a route restricted to these regions.
+/// Starts a node in zone `a` in front of upstreams in `a` (region `north`) and `b` (region
+/// `south`), with a route that is restricted to `allowed_regions`.
 pub fn start_with_regions(upstreams: &[&Upstream], allowed_regions: &[&str]) -> EntryNode {
-    let entered = start(upstreams);
+    let entry_node = start(upstreams);
     {
-        let state = &mut *entered.node.state.borrow_mut();
+        let state = &mut *entry_node.node.state.borrow_mut();
         state.settings.regions = [("a", "north"), ("b", "south")]
             .map(|(zone, region)| (zone.into(), region.into()))
             .into();
         state.apply_table(table_with_regions(2, allowed_regions));
     }
-    entered
+    entry_node
 }
 
-/// Guards against sending a request to the nearest upstream, or a retry to any, in a region that its
-/// route does not allow. The node is outside the allowed region.
+/// Guards against sending a request to the nearest upstream, or a retry to any, in a region that
+/// its route does not allow. The node is outside the allowed region.
 #[test]
 fn a_request_runs_in_its_allowed_regions_only() {
     run(async {
@@ -56,11 +56,11 @@
             Upstream::start(vec![vec![ok_response("near")]]),
             Upstream::start(vec![vec![ok_response("far")]]),
         );
-        let entered = start_with_regions(&[&near, &far], &["south"]);
+        let entry_node = start_with_regions(&[&near, &far], &["south"]);
         for id in 0..10 {
-            let got =
-                Caller::connect(entered.addr).await.ask(&get("/get/1", &id.to_string())).await;
-            assert_eq!(got.body, "far");
+            let response =
+                Caller::connect(entry_node.addr).await.ask(&get("/get/1", &id.to_string())).await;
+            assert_eq!(response.body, "far");
         }
         assert_eq!(near.runs(), 0);
     });
@@ -72,11 +72,11 @@
 fn a_request_without_upstream_in_its_allowed_regions_is_refused_at_once() {
     run(async {
         let (one, other) = (Upstream::start(vec![]), Upstream::start(vec![]));
-        let entered = start_with_regions(&[&one, &other], &["west"]);
-        let asked_at = Instant::now();
-        let got = Caller::connect(entered.addr).await.ask(&get("/get/1", "1")).await;
-        assert!(asked_at.elapsed() < ms(50) && got.status == 503, "{got:?}");
-        assert!(got.headers.contains_key("retry-after"));
+        let entry_node = start_with_regions(&[&one, &other], &["west"]);
+        let sent_at = Instant::now();
+        let response = Caller::connect(entry_node.addr).await.ask(&get("/get/1", "1")).await;
+        assert!(sent_at.elapsed() < ms(50) && response.status == 503, "{response:?}");
+        assert!(response.headers.contains_key("retry-after"));
         assert_eq!(one.runs() + other.runs(), 0);
     });
 }
@@ -107,8 +107,8 @@
         peer.standing = Standing::Alive;
         state.peers.insert(addr(*n), peer);
     }
-    let asker = Lookup { zone, region, host: "Seeds.example" };
-    let mut returned = addresses(&mut state, asker);
+    let lookup = Lookup { zone, region, host: "Seeds.example" };
+    let mut returned = addresses(&mut state, lookup);
     returned.sort_unstable();
     let expected: Vec<_> = expected.iter().map(|n| addr(*n)).collect();
     assert_eq!(returned, expected);
--- a/crates/edge/src/tests/beliefs.rs
+++ b/crates/edge/src/tests/beliefs.rs
@@ -31,7 +31,7 @@
     Peer { zone: zone.into(), standing, config_head, list_head: 0, heads_received: true }
 }
 
-/// A platform that counts the calls, and whose long poll hangs until the next request.
+/// A simulated platform that counts snapshots. Its long polls hang while `hang` is set.
 #[derive(Clone, Default)]
 struct Platform {
     newest: Rc<Cell<Cursor>>,
@@ -58,14 +58,16 @@
         &self,
         _topic: Topic,
         cursor: Cursor,
-        wait: Duration,
+        long_poll_timeout: Duration,
         _grace: Duration,
     ) -> Result<Batch, SourceError> {
         if self.history_gone.replace(false) {
             return Err(SourceError::HistoryGone);
         }
         let started_at = Instant::now();
-        while started_at.elapsed() < wait && (self.hang.get() || self.newest.get() == cursor) {
+        while started_at.elapsed() < long_poll_timeout
+            && (self.hang.get() || self.newest.get() == cursor)
+        {
             monoio::time::sleep(ms(10)).await;
         }
         Ok(self.batch())
@@ -152,7 +154,7 @@
     assert!(!state.is_behind(Topic::Config));
 }
 
-/// A ready node in zone `a` with the given peers.
+/// Returns the state of a ready node in zone `a` with the given peers.
 fn state_with(peers: &[(u8, &str, Standing, Cursor)]) -> State {
     let mut state = State::new(settings());
     state.apply_table(table(7, ClientLimits::default()));
@@ -178,8 +180,14 @@
 #[yare::parameterized(
     own_zone = { &[(1, "a", Standing::Alive, 7), (2, "b", Standing::Alive, 7)], &[127, 1] },
     alone_in_its_zone = { &[(2, "b", Standing::Alive, 7)], &[127, 2] },
-    dead_and_left = { &[(1, "a", Standing::Dead, 7), (2, "a", Standing::Left, 7), (3, "a", Standing::Alive, 7)], &[127, 3] },
-    without_configuration = { &[(1, "a", Standing::Alive, 0), (2, "a", Standing::Alive, 7)], &[127, 2] },
+    dead_and_left = {
+        &[(1, "a", Standing::Dead, 7), (2, "a", Standing::Left, 7), (3, "a", Standing::Alive, 7)],
+        &[127, 3]
+    },
+    without_configuration = {
+        &[(1, "a", Standing::Alive, 0), (2, "a", Standing::Alive, 7)],
+        &[127, 2]
+    },
     suspected = { &[(1, "a", Standing::Suspect, 7), (2, "a", Standing::Alive, 7)], &[127, 2] },
     nobody_else = { &[(1, "a", Standing::Suspect, 7)], &[127, 1] },
 )]
@@ -207,11 +215,15 @@
     late_and_short = { 4_000, 1_000, false },
     late_and_long = { 4_000, 2_000, true },
 )]
-fn a_stopping_node_rejects_requests_that_would_be_cut(after_ms: u64, takes_ms: u64, refused: bool) {
+fn a_stopping_node_rejects_requests_that_would_be_cut(
+    after_ms: u64,
+    takes_ms: u64,
+    rejected: bool,
+) {
     let requested_at = Instant::now();
     let stopping = Stopping { requested_at, exits_at: requested_at + ms(5_400) };
     let now = requested_at + ms(after_ms);
-    assert_eq!(stopping.must_reject(now + ms(takes_ms), now), refused);
+    assert_eq!(stopping.must_reject(now + ms(takes_ms), now), rejected);
 }
 
 #[test]
--- a/crates/edge/src/tests/crash_cluster.rs
+++ b/crates/edge/src/tests/crash_cluster.rs
@@ -22,7 +22,7 @@
 use crate::state::{self, State};
 use crate::{follow, gossip, holds, serve};
 
-/// Slots of each upstream, which is also how many requests one crash can take with it.
+/// Slots of each upstream, which is also the maximum number of requests that one crash loses.
 pub const SLOTS: usize = 4;
 
 /// Time that an upstream works on the crashing request before it crashes, and on other requests.
@@ -164,7 +164,7 @@
         loop {
             let stream = monoio::select! {
                 _ = &mut ended => return,
-                taken = listener.accept() => match taken {
+                accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => stream,
                     Err(_) => return,
                 },
@@ -261,13 +261,13 @@
     }
 }
 
-/// Time after the end of a long poll at which the caller gives up on a silent platform.
+/// Time after the timeout of a long poll at which its caller gives up on a silent platform.
 const SILENT_PLATFORM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A platform that stores one finding and counts calls.
+/// A simulated platform that stores one finding and counts calls.
 #[derive(Clone, Default)]
 pub struct Platform {
-    pub kept: Rc<RefCell<Vec<StoredHold>>>,
+    pub stored: Rc<RefCell<Vec<StoredHold>>>,
     pub calls: Rc<Cell<u32>>,
     /// Incrementing this makes all pending long polls hang until they time out.
     pub stalls: Rc<Cell<u32>>,
@@ -300,12 +300,12 @@
     /// Replaces the stored finding.
     pub fn write(&self, hold: Hold) {
         self.version.set(self.version.get() + 1);
-        let kept = StoredHold { hold, written_at: self.version.get() };
-        *self.kept.borrow_mut() = vec![kept];
+        let stored = StoredHold { hold, written_at: self.version.get() };
+        *self.stored.borrow_mut() = vec![stored];
     }
 
     fn batch(&self) -> holds::Batch {
-        holds::Batch { holds: self.kept.borrow().clone(), cursor: self.version.get() }
+        holds::Batch { holds: self.stored.borrow().clone(), cursor: self.version.get() }
     }
 }
 
@@ -315,27 +315,34 @@
         Ok(self.batch())
     }
 
-    async fn changes(&self, cursor: Cursor, wait: Duration) -> Result<holds::Batch, SourceError> {
+    async fn changes(
+        &self,
+        cursor: Cursor,
+        long_poll_timeout: Duration,
+    ) -> Result<holds::Batch, SourceError> {
         self.calls.set(self.calls.get() + 1);
-        let (began, stalls) = (Instant::now(), self.stalls.get());
-        while self.version.get() == cursor && began.elapsed() < wait {
+        let (started_at, stalls) = (Instant::now(), self.stalls.get());
+        while self.version.get() == cursor && started_at.elapsed() < long_poll_timeout {
             monoio::time::sleep(ms(10)).await;
         }
         if self.stalls.get() > stalls {
-            monoio::time::sleep((wait + SILENT_PLATFORM_TIMEOUT).saturating_sub(began.elapsed()))
-                .await;
+            monoio::time::sleep(
+                (long_poll_timeout + SILENT_PLATFORM_TIMEOUT).saturating_sub(started_at.elapsed()),
+            )
+            .await;
             return Err(SourceError::Unavailable("timed out".into()));
         }
         Ok(self.batch())
     }
 
-    async fn save(&self, hold: &Hold, over: Cursor) -> Result<bool, SourceError> {
+    async fn save(&self, hold: &Hold, expected: Cursor) -> Result<bool, SourceError> {
         self.calls.set(self.calls.get() + 1);
-        let is_as_read = self.kept.borrow().first().map_or(0, |kept| kept.written_at) == over;
-        if is_as_read {
+        let is_unchanged =
+            self.stored.borrow().first().map_or(0, |stored| stored.written_at) == expected;
+        if is_unchanged {
             self.write(hold.clone());
         }
-        Ok(is_as_read)
+        Ok(is_unchanged)
     }
 }
 
@@ -352,8 +359,8 @@
     let front = listener.local_addr().expect("bound");
     monoio::spawn(serve::run(listener, node.clone()));
     let socket = UdpSocket::bind(at).expect("binds");
-    let (inputs, taken) = unbounded::channel();
-    monoio::spawn(gossip::run(socket, node.clone(), inputs, taken));
+    let (tx, rx) = unbounded::channel();
+    monoio::spawn(gossip::run(socket, node.clone(), tx, rx));
     (node, front)
 }
 
@@ -368,7 +375,8 @@
     pub elapsed: Duration,
 }
 
-/// Requests `path` at one node, and retries once at the next if that fails, as callers do.
+/// Requests `path` at the node with the index `first`, and retries once at the next one if that
+/// fails, as callers do.
 pub async fn call_with_retry(
     cluster: &Cluster,
     first: usize,
@@ -378,11 +386,11 @@
     let at = Instant::now();
     let mut result = CallerResult { at, status: 0, elapsed: Duration::ZERO };
     for attempt in 0..2 {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let left = DEADLINE.saturating_sub(at.elapsed());
         let front = cluster.fronts[(first + attempt) % cluster.fronts.len()];
         let (status, retry_after) = attempt_at(front, path, &format!("{id}-{attempt}"), left).await;
-        (result.status, result.elapsed) = (status, began.elapsed());
+        (result.status, result.elapsed) = (status, started_at.elapsed());
         if status == 200 {
             break;
         }
@@ -403,10 +411,10 @@
         ))
         .await;
     match monoio::time::timeout(left, caller.read()).await {
-        Ok(Some(got)) => {
+        Ok(Some(response)) => {
             let retry_after =
-                got.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
-            (got.status, Duration::from_secs_f64(retry_after.unwrap_or(0.0)))
+                response.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+            (response.status, Duration::from_secs_f64(retry_after.unwrap_or(0.0)))
         }
         Ok(None) | Err(_) => (0, ms(0)),
     }
--- a/crates/edge/src/tests/crashes.rs
+++ b/crates/edge/src/tests/crashes.rs
@@ -12,13 +12,13 @@
 use super::fake::{get, incarnation, ms, run, start, Caller, Step, Upstream};
 use crate::forward::{content_of, Node};
 
-/// Time after the third crash by a request within which all nodes must know of it.
+/// Time after a request's third crash within which all nodes must know that it is quarantined.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(3_000);
 
-/// Upstreams that the request may reach after that time.
+/// Maximum number of upstreams that the request reaches after [`MAX_PROPAGATION_TIME`].
 const MAX_REACHED: usize = 3;
 
-/// How long a test goes on after that time, to observe further sends.
+/// Time after [`MAX_PROPAGATION_TIME`] for which a test observes further sends.
 const OBSERVATION_TIME: Duration = Duration::from_millis(2_500);
 
 /// Longest time until three upstreams have crashed.
@@ -27,13 +27,13 @@
 /// Time for the nodes to discover each other.
 const JOIN_TIME: Duration = Duration::from_millis(1_500);
 
-/// Starts one caller after the other until `done`. All request `path` if it is `popular`, otherwise
-/// each appends a number of its own. Returns the results as they come in.
+/// Starts a caller every `interval` until `done` is set. All request `path` if it is `popular`;
+/// otherwise each appends a number of its own. The returned list grows as callers finish.
 fn start_callers(
     cluster: &Rc<Cluster>,
     path: &'static str,
     popular: bool,
-    pause: Duration,
+    interval: Duration,
     done: &Rc<Cell<bool>>,
 ) -> Rc<RefCell<Vec<CallerResult>>> {
     let all_results: Rc<RefCell<Vec<CallerResult>>> = Rc::default();
@@ -49,17 +49,17 @@
                 let result = call_with_retry(&cluster, n, &path, &format!("{path}-{n}")).await;
                 results.borrow_mut().push(result);
             });
-            monoio::time::sleep(pause).await;
+            monoio::time::sleep(interval).await;
         }
     });
     all_results
 }
 
-/// Guards against a request that crashes one upstream after the other. It comes every 150 ms, each
-/// time at another node and under another request id, and once more when it fails; its upstream
-/// crashes after 60 ms. If nodes do not remember what was in flight at crashed upstreams, each of its
-/// attempts counts as a new request and is sent to the next upstream: one such series crashed fifteen
-/// upstreams in five seconds, and seven of ten requests of the service were refused for lack of one.
+/// Guards against a request that crashes one upstream after the other: if nodes do not remember
+/// what was in flight at crashed upstreams, each attempt counts as a new request and goes to the
+/// next one. It comes every 150 ms at another node under another id, is retried once, and crashes
+/// its upstream after 60 ms. One such series crashed fifteen upstreams in five seconds, and seven
+/// of ten requests of the service were refused for lack of an upstream.
 #[test]
 fn a_request_that_crashes_upstreams_is_quarantined() {
     assert_crashing_request_is_quarantined(88, 4, 12);
@@ -116,16 +116,16 @@
     });
 }
 
-/// Waits until `holds` returns true; panics with `what` after `within`.
-async fn until(what: &str, within: Duration, holds: impl Fn() -> bool) {
-    until_or(|| what.to_owned(), within, holds).await;
+/// Waits until `condition` is true; panics with `what` after `within`.
+async fn wait_until(what: &str, within: Duration, condition: impl Fn() -> bool) {
+    wait_until_or(|| what.to_owned(), within, condition).await;
 }
 
-/// The same, with a message that is made when the time is over.
-async fn until_or(what: impl Fn() -> String, within: Duration, holds: impl Fn() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < within, "{}", what());
+/// Same as [`wait_until`], with a message that is built only for the panic.
+async fn wait_until_or(what: impl Fn() -> String, within: Duration, condition: impl Fn() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < within, "{}", what());
         monoio::time::sleep(ms(10)).await;
     }
 }
@@ -134,13 +134,14 @@
 async fn quarantine_request(cluster: &Rc<Cluster>) {
     let done = Rc::new(Cell::new(false));
     start_callers(cluster, "/get/crash", true, ms(120), &done);
-    let known = || format!("all nodes quarantine it: {:#?}", cluster.findings());
-    until_or(known, ms(5_000), || cluster.all_nodes_quarantine(1)).await;
+    let message = || format!("all nodes quarantine it: {:#?}", cluster.findings());
+    wait_until_or(message, ms(5_000), || cluster.all_nodes_quarantine(1)).await;
     done.set(true);
 }
 
-/// A quarantined request is refused at once and reaches no upstream, with a `Retry-After` long enough
-/// that it does not return each second. Another request of the same caller and route is served.
+/// A quarantined request is refused at once and reaches no upstream, with a `Retry-After` long
+/// enough that it does not return each second. Another request of the same caller and route is
+/// served.
 #[test]
 fn a_quarantined_request_is_refused_at_once() {
     run(async {
@@ -151,13 +152,14 @@
         let reached = cluster.seen.borrow().arrivals.len();
         for front in &cluster.fronts {
             let mut caller = Caller::connect(*front).await;
-            let began = Instant::now();
-            let got = caller.ask(&get("/get/crash", "c")).await;
-            assert!(began.elapsed() < ms(50), "at once");
-            let after = got.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
-            assert!(got.status == 503 && after.is_some_and(|s: f64| s > 60.0), "{got:?}");
-            let got = caller.ask(&get("/get/crosh", "d")).await;
-            assert_eq!(got.status, 200, "{got:?}");
+            let started_at = Instant::now();
+            let response = caller.ask(&get("/get/crash", "c")).await;
+            assert!(started_at.elapsed() < ms(50), "at once");
+            let after =
+                response.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+            assert!(response.status == 503 && after.is_some_and(|s: f64| s > 60.0), "{response:?}");
+            let response = caller.ask(&get("/get/crosh", "d")).await;
+            assert_eq!(response.status, 200, "{response:?}");
         }
         assert_eq!(cluster.seen.borrow().arrivals.len(), reached);
         let refused = |node: &Rc<Node>| node.state.borrow().counters.refused_crashing;
@@ -196,10 +198,10 @@
     });
 }
 
-/// Guards against quarantining requests that ran beside the crashing one. If all nodes send what was
-/// lost to the same upstream, the next to crash, harmless requests are lost at three upstreams in a
-/// row as well. Isolation within each node alone is not enough: requests of two nodes still met by
-/// chance, and in one run of twelve a harmless request was quarantined by all nodes.
+/// Guards against quarantining requests that ran beside the crashing one. If all nodes send what
+/// was lost to the same upstream, the next to crash, harmless requests are lost at three upstreams
+/// in a row as well. Isolation within each node alone is not enough: requests of two nodes still
+/// met by chance, and in one run of twelve a harmless request was quarantined by all nodes.
 #[test]
 fn requests_that_ran_beside_a_crashing_one_are_not_quarantined() {
     run(async {
@@ -233,12 +235,12 @@
         monoio::time::sleep(ms(6_000)).await;
         let late = cluster.start_another_node();
         let knows = || late.state.borrow().quarantine.quarantined().count() == 1;
-        until("the new node learns of the finding", ms(3_000), knows).await;
+        wait_until("the new node learns of the finding", ms(3_000), knows).await;
     });
 }
 
-/// Guards against a request that crashes three more upstreams after each restart of the whole fleet,
-/// since findings known only to the nodes are lost with them.
+/// Guards against a request that crashes three more upstreams after each restart of the whole
+/// fleet, since findings that only nodes hold are lost with them.
 #[test]
 fn findings_survive_a_restart_of_all_nodes() {
     run(async {
@@ -247,19 +249,20 @@
         cluster.nodes.iter().for_each(|node| platform.serve(node));
         monoio::time::sleep(JOIN_TIME).await;
         quarantine_request(&cluster).await;
-        until("it is kept", ms(3_000), || platform.kept.borrow().len() == 1).await;
+        wait_until("the finding is stored", ms(3_000), || platform.stored.borrow().len() == 1)
+            .await;
         monoio::time::sleep(ms(1_000)).await;
         // One node reads at its start and writes, receives its own row, then waits.
         assert_eq!(platform.calls.get(), 1 + 1 + 2);
 
         let after = Cluster::start(95, 3, 8, "crash");
         after.nodes.iter().for_each(|node| platform.serve(node));
-        until("all nodes know again", ms(3_000), || after.all_nodes_quarantine(1)).await;
+        wait_until("all nodes know again", ms(3_000), || after.all_nodes_quarantine(1)).await;
 
-        let mut finding = platform.kept.borrow()[0].hold.finding.clone();
+        let mut finding = platform.stored.borrow()[0].hold.finding.clone();
         finding = finding.cleared(finding.until_unix_ms);
         platform.put(finding);
-        until("an operator lifts it", ms(3_000), || after.all_nodes_quarantine(0)).await;
+        wait_until("an operator lifts it", ms(3_000), || after.all_nodes_quarantine(0)).await;
     });
 }
 
@@ -272,12 +275,13 @@
         cluster.nodes.iter().for_each(|node| platform.serve(node));
         monoio::time::sleep(JOIN_TIME).await;
         quarantine_request(&cluster).await;
-        until("it is kept", ms(3_000), || platform.kept.borrow().len() == 1).await;
+        wait_until("the finding is stored", ms(3_000), || platform.stored.borrow().len() == 1)
+            .await;
         monoio::time::sleep(ms(500)).await;
         platform.stalls.set(1);
-        let finding = platform.kept.borrow()[0].hold.finding.clone();
+        let finding = platform.stored.borrow()[0].hold.finding.clone();
         platform.put(finding.cleared(finding.until_unix_ms));
-        until("an operator lifts it", ms(10_000), || cluster.all_nodes_quarantine(0)).await;
+        wait_until("an operator lifts it", ms(10_000), || cluster.all_nodes_quarantine(0)).await;
     });
 }
 
@@ -291,20 +295,21 @@
         cluster.nodes.iter().for_each(|node| platform.serve(node));
         monoio::time::sleep(JOIN_TIME).await;
         quarantine_request(&cluster).await;
-        until("it is kept", ms(3_000), || platform.kept.borrow().len() == 1).await;
-        let older = platform.kept.borrow()[0].hold.clone();
+        wait_until("the finding is stored", ms(3_000), || platform.stored.borrow().len() == 1)
+            .await;
+        let older = platform.stored.borrow()[0].hold.clone();
         platform.put(older.finding.cleared(older.finding.until_unix_ms));
-        until("an operator lifts it", ms(3_000), || cluster.all_nodes_quarantine(0)).await;
+        wait_until("an operator lifts it", ms(3_000), || cluster.all_nodes_quarantine(0)).await;
 
         platform.write(older);
         for node in &cluster.nodes {
             node.state.borrow_mut().store_rollbacks += 1;
         }
         let is_written = || {
-            let kept = platform.kept.borrow();
-            kept[0].hold.written_by == "ana" && kept[0].hold.why.is_some()
+            let stored = platform.stored.borrow();
+            stored[0].hold.written_by == "ana" && stored[0].hold.why.is_some()
         };
-        until("the lift is written again", ms(5_000), is_written).await;
+        wait_until("the lift is written again", ms(5_000), is_written).await;
         monoio::time::sleep(ms(500)).await;
         assert!(cluster.all_nodes_quarantine(0), "an older hold never undoes a lift");
     });
@@ -325,46 +330,47 @@
     });
 }
 
-/// Guards against quarantining a request because an upstream loses responses: it closes the connection
-/// on the same request again and again and serves all others, but nothing crashes.
+/// Guards against quarantining a request because an upstream loses responses: it closes the
+/// connection on the same request again and again and serves all others, but nothing crashes.
 #[test]
 fn lost_responses_are_no_crashes() {
     run(async {
         let upstream = Upstream::start(vec![vec![Step::Close]]);
         let other = Upstream::start(vec![vec![Step::Close]]);
-        let entered = start(&[&upstream, &other]);
+        let entry_node = start(&[&upstream, &other]);
         for n in 0..6 {
-            let mut caller = Caller::connect(entered.addr).await;
-            let got = caller.ask(&get("/get/1", &n.to_string())).await;
-            assert_eq!(got.status, 502, "it may have run");
+            let mut caller = Caller::connect(entry_node.addr).await;
+            let response = caller.ask(&get("/get/1", &n.to_string())).await;
+            assert_eq!(response.status, 502, "it may have run");
         }
-        let state = entered.node.state.borrow();
+        let state = entry_node.node.state.borrow();
         assert!(state.quarantine.is_empty());
         assert_eq!(state.counters.upstreams_ended, 0);
     });
 }
 
-/// Guards against quarantining a request because its upstream is unreachable: its response is lost in
-/// a partition and new connections time out. Only a refused connection means that the process ended.
+/// Guards against quarantining a request because its upstream is unreachable: its response is lost
+/// in a partition and new connections time out. Only a refused connection means that the process
+/// ended.
 #[test]
 fn an_upstream_that_cannot_be_reached_has_not_crashed() {
     run(async {
         let upstream = Upstream::start(vec![vec![Step::Close]]);
-        let entered = start(&[&upstream]);
-        let mut caller = Caller::connect(entered.addr).await;
+        let entry_node = start(&[&upstream]);
+        let mut caller = Caller::connect(entry_node.addr).await;
         assert_eq!(caller.ask(&get("/get/1", "1")).await.status, 502);
-        let knows_any = || !entered.node.state.borrow().quarantine.is_empty();
-        entered.node.record_connect_failure(&incarnation("u0"), &io::ErrorKind::TimedOut.into());
+        let knows_any = || !entry_node.node.state.borrow().quarantine.is_empty();
+        entry_node.node.record_connect_failure(&incarnation("u0"), &io::ErrorKind::TimedOut.into());
         assert!(!knows_any());
-        entered
+        entry_node
             .node
             .record_connect_failure(&incarnation("u0"), &io::ErrorKind::ConnectionRefused.into());
         assert!(knows_any());
     });
 }
 
-/// Guards against counting planned ends of upstreams as crashes: they had been removed from the list
-/// and ended while they still worked on the request.
+/// Guards against counting planned ends of upstreams as crashes: they had been removed from the
+/// list and ended while they still worked on the request.
 #[test]
 fn planned_ends_of_upstreams_are_no_crashes() {
     run(async {
@@ -383,8 +389,8 @@
     });
 }
 
-/// Non-idempotent requests and requests with streamed bodies are never retried by nodes, so that each
-/// attempt is a request of its own. They are quarantined as well.
+/// Non-idempotent requests and requests with streamed bodies are never retried by nodes, so that
+/// each attempt is a request of its own. They are quarantined as well.
 #[yare::parameterized(
     claims = { 98, 4 },
     long_bodies = { 99, 200 * 1024 },
@@ -422,8 +428,9 @@
     content_of(&head, &[])
 }
 
-/// Guards against sending suspected requests to the same upstream. Requests lost together at a crash
-/// would all go to the best upstream and be lost together again, without showing which one crashes it.
+/// Guards against sending suspected requests to the same upstream. Requests lost together at a
+/// crash would all go to the best upstream and be lost together again, without showing which one
+/// crashes it.
 #[test]
 fn suspected_requests_do_not_run_at_the_same_upstream() {
     run(async {
@@ -431,8 +438,8 @@
         let paths = ["/get/a/long", "/get/b/long", "/get/c/long"];
         for path in paths {
             let quarantine = &mut cluster.nodes[0].state.borrow_mut().quarantine;
-            let known = quarantine.version(content(path));
-            quarantine.record_crash(content(path), known, Start::of("u", 1), crate::unix_ms());
+            let version = quarantine.version(content(path));
+            quarantine.record_crash(content(path), version, Start::of("u", 1), crate::unix_ms());
         }
         // One upstream is the best for all of them.
         for (index, slowness) in [(0, 1.0), (1, 2.0), (2, 2.0)] {
@@ -450,7 +457,7 @@
             monoio::time::sleep(ms(20)).await;
         }
         for caller in &mut callers {
-            assert_eq!(caller.read().await.map(|got| got.status), Some(200));
+            assert_eq!(caller.read().await.map(|response| response.status), Some(200));
         }
         let seen = cluster.seen.borrow();
         let mut upstreams: Vec<&String> = seen.ran.iter().map(|(_, id)| id).collect();
@@ -481,14 +488,14 @@
         let mut other = Quarantine::default();
         let content = content("/get/crash");
         for n in 0..3 {
-            let known = other.version(content);
-            other.record_crash(content, known, Start::of("u", n), crate::unix_ms());
+            let version = other.version(content);
+            other.record_crash(content, version, Start::of("u", n), crate::unix_ms());
         }
         let finding = other.quarantined().next().expect("a quarantined request").clone();
         node.merge_finding(&finding, "a peer");
         let merged_at = Instant::now();
-        let got = caller.read().await.expect("a response");
-        assert_eq!((got.status, cluster.seen.borrow().arrivals.len()), (503, 0));
+        let response = caller.read().await.expect("a response");
+        assert_eq!((response.status, cluster.seen.borrow().arrivals.len()), (503, 0));
         assert_eq!(node.state.borrow().counters.refused_crashing, 1);
         assert!(merged_at.elapsed() < ms(60), "at once, not when a slot is free");
     });
--- a/crates/edge/src/tests/fleet.rs
+++ b/crates/edge/src/tests/fleet.rs
@@ -59,7 +59,7 @@
     state
 }
 
-/// A platform that counts its calls and can fail in several ways.
+/// A simulated platform that counts its calls and can fail in several ways.
 #[derive(Clone, Default)]
 pub struct Platform {
     pub config: Rc<Cell<Cursor>>,
@@ -67,9 +67,10 @@
     pub evacuated: Rc<RefCell<Vec<place::Zone>>>,
     pub list: Rc<RefCell<Vec<place::Entry>>>,
     pub list_version: Rc<Cell<Cursor>>,
-    pub waits: Rc<Cell<u32>>,
+    pub long_polls: Rc<Cell<u32>>,
     pub snapshots: Rc<Cell<u32>>,
-    pub cut: Rc<Cell<bool>>,
+    /// Long polls see no changes, and connections time out.
+    pub partitioned: Rc<Cell<bool>>,
     /// Accepts calls and responds to none of them.
     pub silent: Rc<Cell<bool>>,
     /// When incremented, all long polls in flight go silent for good, without an error.
@@ -77,7 +78,7 @@
     /// Does not respond to requests for the list of upstreams.
     pub list_is_silent: Rc<Cell<bool>>,
     /// Rejects every call, and long polls in flight.
-    pub refuses: Rc<Cell<bool>>,
+    pub rejects: Rc<Cell<bool>>,
 }
 
 impl Platform {
@@ -108,7 +109,7 @@
             monoio::time::sleep(ms(1_000)).await;
             return Err(SourceError::Unavailable("timed out".into()));
         }
-        if self.refuses.get() {
+        if self.rejects.get() {
             return Err(SourceError::Unavailable("status 503".into()));
         }
         Ok(self.batch(topic))
@@ -118,32 +119,35 @@
         &self,
         topic: Topic,
         cursor: Cursor,
-        wait: Duration,
+        long_poll_timeout: Duration,
         grace: Duration,
     ) -> Result<Batch, SourceError> {
-        self.waits.set(self.waits.get() + 1);
+        self.long_polls.set(self.long_polls.get() + 1);
         let (started_at, stalls) = (Instant::now(), self.stalls.get());
-        let refused = || Err(SourceError::Unavailable("status 503".into()));
-        if self.refuses.get() {
-            return refused();
+        let rejected = || Err(SourceError::Unavailable("status 503".into()));
+        if self.rejects.get() {
+            return rejected();
         }
         if topic == Topic::Upstreams && self.list_is_silent.get() {
-            monoio::time::sleep(wait + grace).await;
+            monoio::time::sleep(long_poll_timeout + grace).await;
             return Err(SourceError::Unavailable("timed out".into()));
         }
         loop {
             if self.stalls.get() > stalls {
-                monoio::time::sleep((wait + grace).saturating_sub(started_at.elapsed())).await;
+                monoio::time::sleep(
+                    (long_poll_timeout + grace).saturating_sub(started_at.elapsed()),
+                )
+                .await;
                 return Err(SourceError::Unavailable("timed out".into()));
             }
-            if self.refuses.get() {
-                return refused();
+            if self.rejects.get() {
+                return rejected();
             }
             let batch = self.batch(topic);
-            if batch.cursor > cursor && !self.cut.get() {
+            if batch.cursor > cursor && !self.partitioned.get() {
                 return Ok(batch);
             }
-            if started_at.elapsed() >= wait {
+            if started_at.elapsed() >= long_poll_timeout {
                 return Ok(Batch { events: Vec::new(), cursor, newest: 0 });
             }
             monoio::time::sleep(ms(5)).await;
@@ -151,10 +155,10 @@
     }
 
     async fn takes_connections(&self, timeout: Duration) -> bool {
-        if self.cut.get() {
+        if self.partitioned.get() {
             monoio::time::sleep(timeout).await;
         }
-        !self.cut.get()
+        !self.partitioned.get()
     }
 }
 
@@ -199,7 +203,7 @@
 }
 
 /// Waits until a node reads the platform through a peer.
-pub async fn until_subscribed(node: &Node) {
+pub async fn wait_until_subscribed(node: &Node) {
     let started_at = Instant::now();
     while node.state.borrow().reads_directly {
         assert!(started_at.elapsed() < ms(5_000), "never subscribed");
--- a/crates/edge/src/tests/in_force.rs
+++ b/crates/edge/src/tests/in_force.rs
@@ -55,9 +55,9 @@
             node.state.borrow_mut().peers.insert(addr(n), serving("a"));
         }
         monoio::time::sleep(PEER_DISCOVERY_TIME).await;
-        platform.refuses.set(true);
+        platform.rejects.set(true);
         monoio::time::sleep(ms(100)).await;
-        platform.refuses.set(false);
+        platform.rejects.set(false);
         let ahead = Peer { config_head: 9, ..serving("b") };
         node.state.borrow_mut().peers.insert(addr(9), ahead);
         assert_eq!(count_in_force(&platform, &[node]).await, 1);
@@ -82,8 +82,8 @@
     });
 }
 
-/// A node that its reader dropped connects to one that accepts the connection and sends nothing,
-/// until the bound has passed.
+/// A node that its reader dropped connects to another reader, which accepts the connection and
+/// sends nothing until the bound has passed.
 #[test]
 fn a_silent_reader_does_not_delay_a_configuration() {
     run(async {
--- a/crates/edge/src/tests/large.rs
+++ b/crates/edge/src/tests/large.rs
@@ -23,7 +23,8 @@
     (0..nodes).map(|n| (addr(n), ZONES[usize::from(n) % ZONES.len()])).collect()
 }
 
-/// Returns the node at `me`, which serves, has heard of all others, and from a part of them.
+/// Returns the state of the node at `me`. It serves, knows of all others, and has heard directly
+/// from `heard_ratio` of them.
 fn serving_node(
     fleet: &[(SocketAddr, &str)],
     me: (SocketAddr, &str),
@@ -79,10 +80,10 @@
 /// not heard from the first node of the fleet yet and consider themselves the first. A first node
 /// that is alive but never serves must not keep records unwritten either.
 #[yare::parameterized(
-    presumed = { false, 0, Duration::ZERO, false },
+    not_heard_yet = { false, 0, Duration::ZERO, false },
     never_heard_for_long = { false, 0, Duration::from_secs(60), true },
     serves = { true, 7, Duration::from_secs(60), false },
-    said_that_it_holds_nothing = { true, 0, Duration::ZERO, true },
+    has_no_configuration = { true, 0, Duration::ZERO, true },
 )]
 fn one_node_writes_records(heard: bool, head: u64, due_for: Duration, writes: bool) {
     let fleet = fleet(2);
--- a/crates/edge/src/tests/pipelining.rs
+++ b/crates/edge/src/tests/pipelining.rs
@@ -87,7 +87,8 @@
 }
 
 /// Guards against upstreams that work for a disconnected caller: it sends several requests and
-/// disconnects before any is answered, which went unnoticed while bytes of it were buffered.
+/// disconnects before any is answered, which went unnoticed while bytes of these requests were
+/// buffered.
 #[test]
 fn a_disconnect_cancels_all_idempotent_requests() {
     run(async {
--- a/crates/edge/src/tests/relay.rs
+++ b/crates/edge/src/tests/relay.rs
@@ -7,7 +7,9 @@
 use std::time::Instant;
 
 use super::fake::{metrics, ms, run, settings};
-use super::fleet::{addr, entry, platform, serving, start, state_at, until_subscribed, Platform};
+use super::fleet::{
+    addr, entry, platform, serving, start, state_at, wait_until_subscribed, Platform,
+};
 use crate::forward::Node;
 use crate::history::Cursor;
 use crate::readers::{self, ReadPath};
@@ -53,7 +55,7 @@
     assert_eq!(read_path(&mut state), ReadPath::Direct);
 }
 
-/// Five nodes in one zone that know each other; the first three by address are readers.
+/// Starts five nodes in one zone that know each other; the first three by address are readers.
 pub fn fleet(platform: &Platform) -> Vec<Rc<Node>> {
     let mut nodes: Vec<(Rc<Node>, SocketAddr)> = (0..5).map(|_| start(platform)).collect();
     nodes.sort_by_key(|(_, at)| *at);
@@ -73,7 +75,7 @@
         let platform = platform();
         let nodes = fleet(&platform);
         monoio::time::sleep(ms(2_000)).await;
-        let before = platform.waits.get();
+        let before = platform.long_polls.get();
         platform.config.set(9);
         platform.list.borrow_mut().push(entry(2));
         platform.list_version.set(9);
@@ -83,12 +85,15 @@
             assert_eq!((state.config_version(), state.roster.len()), (9, 2));
         }
         assert_eq!(nodes.iter().filter(|node| node.state.borrow().reads_directly).count(), 3);
-        let waits = platform.waits.get() - before;
-        assert!(waits <= 6, "{waits} new long polls after two changes with three readers");
+        let long_polls = platform.long_polls.get() - before;
+        assert!(
+            long_polls <= 6,
+            "{long_polls} new long polls after two changes with three readers"
+        );
     });
 }
 
-/// A node that reads the platform directly and has two unreachable readers before it.
+/// Starts a node that reads the platform directly and has two unreachable readers before it.
 fn start_behind_unreachable_readers(platform: &Platform) -> Rc<Node> {
     let (node, _) = start(platform);
     node.state.borrow_mut().settings.peer_addr = SocketAddr::from(([127, 0, 0, 1], 65_535));
@@ -112,7 +117,7 @@
         let own = Platform { snapshots: Rc::default(), silent: Rc::default(), ..platform.clone() };
         let node = start_behind_unreachable_readers(&own);
         node.state.borrow_mut().peers.insert(reader.1, serving("a"));
-        until_subscribed(&node).await;
+        wait_until_subscribed(&node).await;
         // The search for a peer after the start ends.
         monoio::time::sleep(ms(200)).await;
         own.silent.set(true);
@@ -160,10 +165,10 @@
         let third = SocketAddr::from(([127, 0, 0, 1], 3));
         node.state.borrow_mut().peers.insert(third, serving("a"));
         monoio::time::sleep(ms(1_600)).await;
-        assert_eq!(platform.waits.get(), 0);
+        assert_eq!(platform.long_polls.get(), 0);
         // It long-polls itself once its search is over.
         monoio::time::sleep(ms(1_000)).await;
-        assert!(platform.waits.get() > 0);
+        assert!(platform.long_polls.get() > 0);
     });
 }
 
@@ -177,11 +182,11 @@
         let reader_platform = platform();
         let reader = start(&reader_platform);
         monoio::time::sleep(ms(100)).await;
-        let own = Platform { cut: Rc::default(), ..reader_platform.clone() };
+        let own = Platform { partitioned: Rc::default(), ..reader_platform.clone() };
         let node = start_behind_unreachable_readers(&own);
         node.state.borrow_mut().peers.insert(reader.1, serving("a"));
-        until_subscribed(&node).await;
-        reader_platform.cut.set(true);
+        wait_until_subscribed(&node).await;
+        reader_platform.partitioned.set(true);
         reader_platform.config.set(9);
         monoio::time::sleep(ms(1_500)).await;
         assert_eq!(reader.0.state.borrow().config_version(), 7);
@@ -191,8 +196,8 @@
 
 /// Guards against a node that sends requests to an upstream it had dropped, twelve seconds after
 /// the upstream left. A reader was partitioned while the upstream left, and keeps the vanished
-/// entry for two seconds after the partition ends; it must not relay what it only keeps in case it
-/// comes back.
+/// entry for two seconds after the partition ends; it must not relay an entry that it only keeps in
+/// case the upstream is listed again.
 #[test]
 fn upstreams_kept_through_an_outage_are_not_relayed() {
     run(async {
@@ -324,7 +329,7 @@
             let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
             state.peers.insert(unreachable, serving("c"));
         }
-        until_subscribed(&node).await;
+        wait_until_subscribed(&node).await;
         let before = own.snapshots.get();
         let (first, second) = match readers[0].0.subscribers.is_empty() {
             true => (&readers[1], &readers[0]),
@@ -341,8 +346,8 @@
 
 /// Guards against most nodes considering themselves behind and reading the platform whenever
 /// upstreams warm up. An upstream writes its remaining warm-up time; readers tell each other the
-/// newest change that they have read. Their subscribers must hear of it too, although nothing else
-/// changes.
+/// newest change that they have read. Subscribers must get that position too, although
+/// nothing else changes.
 #[test]
 fn subscribers_get_the_position_when_nothing_changed() {
     run(async {
@@ -381,7 +386,7 @@
             reader.state.borrow_mut().list_progress.up_to = newest;
             let node = subscriber(newest, port);
             monoio::spawn(relay::run(node.clone()));
-            until_subscribed(&node).await;
+            wait_until_subscribed(&node).await;
             monoio::time::sleep(ms(100)).await;
             assert!(!node.state.borrow().reads_directly, "left the reader at {newest}");
         }
--- a/crates/edge/src/tests/requests.rs
+++ b/crates/edge/src/tests/requests.rs
@@ -176,12 +176,12 @@
         let first = Upstream::start(vec![vec![refusal("503 Full")]]);
         let second = Upstream::start(vec![vec![refusal("503 Full")]]);
         let entry_node = start(&[&first, &second]);
-        let asked_at = std::time::Instant::now();
+        let sent_at = std::time::Instant::now();
         let response = Caller::connect(entry_node.addr).await.ask(&post("7")).await;
         assert_eq!(response.status, 503);
         let seconds: f64 = response.headers["retry-after"].to_str().unwrap().parse().unwrap();
         assert!(seconds > 0.0 && seconds < 0.4, "{seconds}");
-        assert!(asked_at.elapsed() < ms(400));
+        assert!(sent_at.elapsed() < ms(400));
     });
 }
 
@@ -203,8 +203,8 @@
     });
 }
 
-/// Guards against the same failure when the second response follows the first at once, before the
-/// next request: a connection with unexpected bytes on it must not be reused.
+/// Guards against delivering one caller's response to another when an upstream sends a response
+/// twice, before the next request: a connection with unexpected bytes on it must not be reused.
 #[test]
 fn a_surplus_response_retires_its_connection() {
     run(async {
@@ -247,10 +247,10 @@
     run(async {
         let upstream = Upstream::start(vec![vec![Step::Wait(ms(5_000))]]);
         let entry_node = start(&[&upstream]);
-        let asked_at = std::time::Instant::now();
+        let sent_at = std::time::Instant::now();
         let response = Caller::connect(entry_node.addr).await.ask(&post("7")).await;
         assert_eq!(response.status, 504);
-        assert!(asked_at.elapsed() >= ms(490));
+        assert!(sent_at.elapsed() >= ms(490));
     });
 }
 
@@ -370,10 +370,10 @@
     run(async {
         let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
         let entry_node = start_without_config(&upstream, ms(300), ms(300));
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let request = get("/get/1", "7").replace("500", deadline_ms);
         let response = Caller::connect(entry_node.addr).await.ask(&request).await;
-        let elapsed = asked_at.elapsed();
+        let elapsed = sent_at.elapsed();
         assert_eq!(response.status, status);
         assert!((at_least..at_most).contains(&elapsed), "{elapsed:?}");
     });
--- a/crates/edge/src/tests/rests.rs
+++ b/crates/edge/src/tests/rests.rs
@@ -23,14 +23,15 @@
     vec![Step::Wait(ms(5)), ok_response("")]
 }
 
-/// Returns how many requests came between `from` and `to` after the first request.
-fn between(upstream: &Upstream, from: Duration, to: Duration) -> usize {
+/// Returns how many requests an upstream received between `from` and `to` after its first.
+fn received_between(upstream: &Upstream, from: Duration, to: Duration) -> usize {
     let seen = upstream.seen.borrow();
     let first = seen.first().expect("a first request").at;
     seen.iter().filter(|seen| (first + from..first + to).contains(&seen.at)).count()
 }
 
-/// Guards against an upstream that refuses at once, therefore looks idle and gets the most requests.
+/// Guards against an upstream that refuses requests at once, therefore looks idle, and gets the
+/// most of them.
 #[yare::parameterized(
     idempotent_requests = { |id| get("/get/1", id) },
     non_idempotent_requests = { post },
@@ -42,8 +43,8 @@
         let other = Upstream::start(vec![respond()]);
         let nodes = nodes(&[&backing_off, &other]);
         let served = send_requests(&nodes[..1], request, Instant::now() + ms(3_500)).await;
-        let got = between(&backing_off, IN_FLIGHT_TIME, ms(2_000));
-        assert!(got <= MAX_REQUESTS_DURING_BACKOFF, "{got} requests");
+        let received = received_between(&backing_off, IN_FLIGHT_TIME, ms(2_000));
+        assert!(received <= MAX_REQUESTS_DURING_BACKOFF, "{received} requests");
         assert!(backing_off.runs() >= 2, "it gets requests again after its backoff");
         assert!(served > 70, "the others are served by the other upstream: {served}");
         let counters = nodes[0].node.state.borrow().counters;
@@ -58,14 +59,14 @@
     run(async {
         let (one, other) =
             (Upstream::start(vec![refuse_for("3")]), Upstream::start(vec![refuse_for("1")]));
-        let entered = start(&[&one, &other]);
+        let entry_node = start(&[&one, &other]);
         let ask =
-            async |id: &str| Caller::connect(entered.addr).await.ask(&get("/get/1", id)).await;
+            async |id: &str| Caller::connect(entry_node.addr).await.ask(&get("/get/1", id)).await;
         assert_eq!(ask("1").await.status, 503);
-        let asked_at = Instant::now();
-        let got = ask("2").await;
-        assert!(asked_at.elapsed() < ms(50), "at once");
-        let retry_after = got.headers["retry-after"].to_str().expect("text").parse::<f64>();
+        let sent_at = Instant::now();
+        let response = ask("2").await;
+        assert!(sent_at.elapsed() < ms(50), "at once");
+        let retry_after = response.headers["retry-after"].to_str().expect("text").parse::<f64>();
         let retry_after = retry_after.expect("seconds");
         assert!((0.8..1.6).contains(&retry_after), "after the shorter backoff: {retry_after} s");
         assert_eq!(one.runs() + other.runs(), 2);
@@ -87,24 +88,24 @@
     run(async move {
         let (one, other) =
             (Upstream::start(vec![refuse_for("1")]), Upstream::start(vec![refuse_for("3")]));
-        let entered = start_with_regions(&[&one, &other], &[]);
+        let entry_node = start_with_regions(&[&one, &other], &[]);
         let ask =
-            async |id: &str| Caller::connect(entered.addr).await.ask(&get("/get/1", id)).await;
+            async |id: &str| Caller::connect(entry_node.addr).await.ask(&get("/get/1", id)).await;
         assert_eq!(ask("1").await.status, 503);
         {
-            let state = &mut *entered.node.state.borrow_mut();
+            let state = &mut *entry_node.node.state.borrow_mut();
             state.apply_table(table_with_regions(3, &allowed_regions));
             state.update_evacuations(|evacuations| evacuations.adopt_snapshot(evacuated));
         }
-        let got = ask("2").await;
-        let retry_after = got.headers["retry-after"].to_str().expect("text").parse::<f64>();
+        let response = ask("2").await;
+        let retry_after = response.headers["retry-after"].to_str().expect("text").parse::<f64>();
         let retry_after = retry_after.expect("seconds");
         assert!(retry_after > 2.5, "after the backoff of the other: {retry_after} s");
     });
 }
 
-/// Guards against a burst at the end of a backoff: a single request first shows whether the upstream
-/// serves again.
+/// Guards against a burst at the end of a backoff: a single request first shows whether the
+/// upstream serves again.
 #[test]
 fn one_request_shows_whether_a_backoff_is_over() {
     run(async {
@@ -112,11 +113,11 @@
         let upstream = Upstream::start(vec![refuse_for("1"), slow, respond()]);
         let other = Upstream::start(vec![respond()]);
         let nodes = nodes(&[&upstream, &other]);
-        let until = Instant::now() + ms(2_500);
+        let ends_at = Instant::now() + ms(2_500);
         // Continuous callers: each request would be sent there once the backoff is over.
         let (a, b) = (&nodes[..1], &nodes[..1]);
         let request = |id: &str| get("/get/1", id);
-        monoio::join!(send_requests(a, request, until), send_requests(b, request, until));
+        monoio::join!(send_requests(a, request, ends_at), send_requests(b, request, ends_at));
         let seen = upstream.seen.borrow();
         let after_backoff: Vec<Instant> = seen.iter().skip(1).map(|seen| seen.at).collect();
         assert!(after_backoff.len() > 2, "it serves again");
--- a/crates/edge/src/tests/starts.rs
+++ b/crates/edge/src/tests/starts.rs
@@ -15,7 +15,7 @@
 use crate::relay;
 use crate::state::State;
 
-async fn until_ready(node: &Node, within: Duration) {
+async fn wait_until_ready(node: &Node, within: Duration) {
     let started_at = Instant::now();
     while !node.state.borrow().is_ready() {
         assert!(started_at.elapsed() < within, "not ready after {within:?}");
@@ -24,8 +24,8 @@
 }
 
 /// Guards against three platform calls by each restarted node, which also serves only after 0.1 s
-/// over a slow link: nodes are restarted one by one while the seeds serve, and must read through
-/// these.
+/// over a slow link. Nodes are restarted one by one while the seeds serve, and must read through
+/// the seeds.
 #[test]
 fn a_restarted_node_gets_everything_from_a_seed_that_serves() {
     run(async {
@@ -34,9 +34,9 @@
         let own = platform();
         let seeds = vec![seed.1];
         let (node, _) = start_with(&own, own_addr(4), |settings| settings.seed_addrs = seeds);
-        until_ready(&node, ms(200)).await;
+        wait_until_ready(&node, ms(200)).await;
         monoio::time::sleep(ms(300)).await;
-        assert_eq!((own.snapshots.get(), own.waits.get()), (0, 0));
+        assert_eq!((own.snapshots.get(), own.long_polls.get()), (0, 0));
         let counters = seed.0.state.borrow().counters;
         assert!(counters.relay_bytes > 0, "relayed bytes are counted");
         assert_eq!(counters.relay_far_bytes, 0);
@@ -44,8 +44,8 @@
 }
 
 /// Guards against a seed's link that is saturated for seconds when half of the fleet is restarted
-/// at once: more nodes of a zone connect to it than it serves itself. The others must get the list
-/// as soon.
+/// at once: more nodes of a zone connect to it than it serves itself. The other nodes must get the
+/// list as early.
 #[test]
 fn a_seed_names_newcomers_to_each_other() {
     run(async {
@@ -59,7 +59,7 @@
             })
             .collect();
         for node in &nodes {
-            until_ready(node, ms(400)).await;
+            wait_until_ready(node, ms(400)).await;
         }
         assert_eq!(own.snapshots.get(), 0);
         assert_eq!(seed.0.subscribers.count(), 2, "the rest of the zone reads through these two");
@@ -87,15 +87,15 @@
         });
         let own = platform();
         let (node, _) = start_with(&own, own_addr(6), |settings| settings.seed_addrs = vec![peer]);
-        until_ready(&node, ms(500)).await;
+        wait_until_ready(&node, ms(500)).await;
         monoio::time::sleep(ms(300)).await;
         assert!(connections.get() <= 4, "{} connections", connections.get());
     });
 }
 
 /// Guards against a restarted node that sends requests to upstreams that left. The platform
-/// rejects its seed, which keeps its old state, but responds to the node: it must not take a list
-/// from any node that serves.
+/// rejects its seed, which keeps its old state, but responds to the node, which must not take the
+/// list of another node merely because that one serves.
 #[test]
 fn a_restarted_node_ignores_a_seed_that_the_platform_rejects() {
     run(async {
@@ -106,7 +106,7 @@
         own.config.set(9);
         let seeds = vec![seed.1];
         let (node, _) = start_with(&own, own_addr(5), |settings| settings.seed_addrs = seeds);
-        until_ready(&node, ms(400)).await;
+        wait_until_ready(&node, ms(400)).await;
         assert_eq!(node.state.borrow().config_version(), 9);
     });
 }
@@ -116,16 +116,16 @@
 /// own zone.
 #[yare::parameterized(
     zones_unknown = { &[], &[7, 8, 9] },
-    one_is_near = { &[(7, "b"), (8, "a"), (9, "c")], &[8] },
-    none_is_near = { &[(7, "b"), (9, "c")], &[7, 8, 9] },
+    one_in_the_same_zone = { &[(7, "b"), (8, "a"), (9, "c")], &[8] },
+    none_in_the_same_zone = { &[(7, "b"), (9, "c")], &[7, 8, 9] },
 )]
 fn a_fleet_that_starts_reads_through_the_nearest_seed(known: &[(u8, &str)], expected: &[u8]) {
     let now = Instant::now();
-    for in_step in [false, true] {
+    for has_read in [false, true] {
         let mut state = state_at(addr(5), known);
         state.settings.seed_addrs = [7, 8, 9].map(addr).to_vec();
         state.settings.bootstrap = true;
-        (state.config_progress.has_read, state.reads_directly) = (in_step, false);
+        (state.config_progress.has_read, state.reads_directly) = (has_read, false);
         let chosen = readers::choose(&mut state, &HashMap::new(), true, now);
         assert!(expected.iter().any(|n| chosen == ReadPath::Via(addr(*n))), "{chosen:?}");
         assert_eq!(readers::has_nearer_seed(&state, addr(7), now), !expected.contains(&7));
@@ -149,7 +149,7 @@
             settings.seed_addrs = vec![seed_at];
             settings.bootstrap = true;
         });
-        until_ready(&node, ms(3_000)).await;
+        wait_until_ready(&node, ms(3_000)).await;
         assert_eq!(own.snapshots.get(), 0);
         assert!(seed.0.state.borrow().reads_directly);
     });
@@ -168,7 +168,7 @@
         let (node, _) = start_with(&own, own_addr(3), |settings| {
             settings.seed_addrs = vec![seed_at];
         });
-        until_ready(&node, ms(1_000)).await;
+        wait_until_ready(&node, ms(1_000)).await;
         assert_eq!(own.snapshots.get(), 2);
     });
 }
