--- a/crates/edge/src/tests/mod.rs
+++ b/crates/edge/src/tests/mod.rs
@@ -1,7 +1,6 @@
 //! Tests of the whole request path over loopback, with scripted upstreams.
 
 mod allowed_regions;
-mod beliefs;
 mod budgets;
 mod callers;
 mod crash_cluster;
@@ -15,6 +14,7 @@
 mod leaving;
 mod limits;
 mod long;
+mod node_state;
 mod pipelining;
 mod relay;
 mod requests;
