--- a/crates/edge/src/tests/mod.rs
+++ b/crates/edge/src/tests/mod.rs
@@ -1,6 +1,7 @@
 //! Tests of the whole request path over loopback, with scripted upstreams.
 
 mod allowed_regions;
+mod backoffs;
 mod budgets;
 mod callers;
 mod crash_cluster;
@@ -19,5 +20,4 @@
 mod relay;
 mod requests;
 mod restarts;
-mod rests;
 mod starts;
