--- a/crates/edge/src/tests/mod.rs
+++ b/crates/edge/src/tests/mod.rs
@@ -11,7 +11,7 @@
 pub mod fleet;
 mod idle;
 mod in_force;
-mod large;
+mod large_fleets;
 mod leaving;
 mod limits;
 mod long;
