--- a/crates/edge/src/tests/mod.rs
+++ b/crates/edge/src/tests/mod.rs
@@ -14,7 +14,7 @@
 mod large_fleets;
 mod leaving;
 mod limits;
-mod long;
+mod long_bodies;
 mod node_state;
 mod pipelining;
 mod relay;
