--- a/crates/edge/src/tests/backoffs.rs
+++ b/crates/edge/src/tests/backoffs.rs
@@ -48,7 +48,7 @@
         assert!(backing_off.runs() >= 2, "it gets requests again after its backoff");
         assert!(served > 70, "the others are served by the other upstream: {served}");
         let counters = nodes[0].node.state.borrow().counters;
-        assert!(counters.refused <= 2, "known backoffs cost no caller a response");
+        assert!(counters.refused <= 2, "no request is refused because of a known backoff");
     });
 }
 
--- a/crates/edge/src/tests/leaving.rs
+++ b/crates/edge/src/tests/leaving.rs
@@ -52,7 +52,9 @@
     a_refusal = { "503 Service Unavailable", "x-not-run: 1\r\ncontent-length: 0\r\n", false },
     unsigned = { "200 OK", "content-length: 0\r\n", false },
     truncated = { "200 OK", "x-signature: s\r\ncontent-length: 9\r\n", true },
-    to_an_earlier_request = { "200 OK", "x-id: 0\r\nx-signature: s\r\ncontent-length: 0\r\n", true },
+    to_an_earlier_request = {
+        "200 OK", "x-id: 0\r\nx-signature: s\r\ncontent-length: 0\r\n", true
+    },
 )]
 fn any_response_may_state_that_its_upstream_is_leaving(status: &str, headers: &str, closes: bool) {
     let id = if headers.starts_with("x-id") { "" } else { "x-id: {id}\r\n" };
--- a/crates/edge/src/tests/requests.rs
+++ b/crates/edge/src/tests/requests.rs
@@ -42,7 +42,12 @@
 /// again.
 #[yare::parameterized(
     closed = { vec![Step::Close] },
-    cut = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"), Step::Close] },
+    truncated = {
+        vec![
+            text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"),
+            Step::Close
+        ]
+    },
     garbage = { vec![text("\u{1}\u{2}\u{3}"), Step::Close] },
     unsigned = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 2\r\n\r\nok")] },
     encoded = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-encoding: gzip\r\ncontent-length: 2\r\n\r\nok")] },
@@ -65,8 +70,15 @@
 /// although another upstream could answer it.
 #[yare::parameterized(
     closed = { vec![Step::Close] },
-    cut = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"), Step::Close] },
-    error = { vec![text("HTTP/1.1 500 Oops\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 0\r\n\r\n")] },
+    truncated = {
+        vec![
+            text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"),
+            Step::Close
+        ]
+    },
+    error = {
+        vec![text("HTTP/1.1 500 Oops\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 0\r\n\r\n")]
+    },
     silent = { vec![Step::Wait(ms(5_000))] },
 )]
 fn an_idempotent_request_is_sent_to_a_second_upstream(script: Vec<Step>) {
@@ -259,7 +271,10 @@
     no_host = { "GET /get/1 HTTP/1.1\r\nx-id: 7\r\n\r\n", 400 },
     no_id = { "GET /get/1 HTTP/1.1\r\nHost: seeds.example\r\n\r\n", 400 },
     two_ids = { "GET /get/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: 7\r\nx-id: 8\r\n\r\n", 400 },
-    too_long = { "POST /get/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: 7\r\nContent-Length: 99999999\r\n\r\n", 413 },
+    too_long = {
+        "POST /get/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: 7\r\nContent-Length: 99999999\r\n\r\n",
+        413
+    },
     broken_chunk = { "POST /get/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: 7\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400 },
 )]
 fn requests_that_cannot_be_served_reach_no_upstream(request: &str, status: u16) {
