--- a/crates/edge/src/tests/mod.rs
+++ b/crates/edge/src/tests/mod.rs
@@ -1,7 +1,7 @@
 //! Tests of the whole request path over loopback, with scripted upstreams.
 
 mod allowed_regions;
-mod beliefs;
+mod backoffs;
 mod budgets;
 mod callers;
 mod crash_cluster;
@@ -11,13 +11,13 @@
 pub mod fleet;
 mod idle;
 mod in_force;
-mod large;
+mod large_fleets;
 mod leaving;
 mod limits;
-mod long;
+mod long_bodies;
+mod node_state;
 mod pipelining;
 mod relay;
 mod requests;
 mod restarts;
-mod rests;
 mod starts;
--- a/crates/edge/src/tests/requests.rs
+++ b/crates/edge/src/tests/requests.rs
@@ -42,7 +42,12 @@
 /// again.
 #[yare::parameterized(
     closed = { vec![Step::Close] },
-    cut = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"), Step::Close] },
+    truncated = {
+        vec![
+            text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"),
+            Step::Close
+        ]
+    },
     garbage = { vec![text("\u{1}\u{2}\u{3}"), Step::Close] },
     unsigned = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\ncontent-length: 2\r\n\r\nok")] },
     encoded = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-encoding: gzip\r\ncontent-length: 2\r\n\r\nok")] },
@@ -65,8 +70,15 @@
 /// although another upstream could answer it.
 #[yare::parameterized(
     closed = { vec![Step::Close] },
-    cut = { vec![text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"), Step::Close] },
-    error = { vec![text("HTTP/1.1 500 Oops\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 0\r\n\r\n")] },
+    truncated = {
+        vec![
+            text("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 9\r\n\r\nbe"),
+            Step::Close
+        ]
+    },
+    error = {
+        vec![text("HTTP/1.1 500 Oops\r\nx-id: {id}\r\nx-signature: s\r\ncontent-length: 0\r\n\r\n")]
+    },
     silent = { vec![Step::Wait(ms(5_000))] },
 )]
 fn an_idempotent_request_is_sent_to_a_second_upstream(script: Vec<Step>) {
@@ -176,12 +188,12 @@
         let first = Upstream::start(vec![vec![refusal("503 Full")]]);
         let second = Upstream::start(vec![vec![refusal("503 Full")]]);
         let entry_node = start(&[&first, &second]);
-        let asked_at = std::time::Instant::now();
+        let sent_at = std::time::Instant::now();
         let response = Caller::connect(entry_node.addr).await.ask(&post("7")).await;
         assert_eq!(response.status, 503);
         let seconds: f64 = response.headers["retry-after"].to_str().unwrap().parse().unwrap();
         assert!(seconds > 0.0 && seconds < 0.4, "{seconds}");
-        assert!(asked_at.elapsed() < ms(400));
+        assert!(sent_at.elapsed() < ms(400));
     });
 }
 
@@ -203,8 +215,8 @@
     });
 }
 
-/// Guards against the same failure when the second response follows the first at once, before the
-/// next request: a connection with unexpected bytes on it must not be reused.
+/// Guards against delivering one caller's response to another when an upstream sends a response
+/// twice, before the next request: a connection with unexpected bytes on it must not be reused.
 #[test]
 fn a_surplus_response_retires_its_connection() {
     run(async {
@@ -247,10 +259,10 @@
     run(async {
         let upstream = Upstream::start(vec![vec![Step::Wait(ms(5_000))]]);
         let entry_node = start(&[&upstream]);
-        let asked_at = std::time::Instant::now();
+        let sent_at = std::time::Instant::now();
         let response = Caller::connect(entry_node.addr).await.ask(&post("7")).await;
         assert_eq!(response.status, 504);
-        assert!(asked_at.elapsed() >= ms(490));
+        assert!(sent_at.elapsed() >= ms(490));
     });
 }
 
@@ -259,7 +271,10 @@
     no_host = { "GET /get/1 HTTP/1.1\r\nx-id: 7\r\n\r\n", 400 },
     no_id = { "GET /get/1 HTTP/1.1\r\nHost: seeds.example\r\n\r\n", 400 },
     two_ids = { "GET /get/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: 7\r\nx-id: 8\r\n\r\n", 400 },
-    too_long = { "POST /get/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: 7\r\nContent-Length: 99999999\r\n\r\n", 413 },
+    too_long = {
+        "POST /get/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: 7\r\nContent-Length: 99999999\r\n\r\n",
+        413
+    },
     broken_chunk = { "POST /get/1 HTTP/1.1\r\nHost: seeds.example\r\nx-id: 7\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400 },
 )]
 fn requests_that_cannot_be_served_reach_no_upstream(request: &str, status: u16) {
@@ -370,10 +385,10 @@
     run(async {
         let upstream = Upstream::start(vec![vec![ok_response("beans")]]);
         let entry_node = start_without_config(&upstream, ms(300), ms(300));
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let request = get("/get/1", "7").replace("500", deadline_ms);
         let response = Caller::connect(entry_node.addr).await.ask(&request).await;
-        let elapsed = asked_at.elapsed();
+        let elapsed = sent_at.elapsed();
         assert_eq!(response.status, status);
         assert!((at_least..at_most).contains(&elapsed), "{elapsed:?}");
     });
