--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -48,7 +48,7 @@
 const PEER_SEARCH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Same as [`PEER_SEARCH_TIMEOUT`] for a node that is not a reader: when hundreds of nodes
-/// restart at once, some readers are not queried until the second second. Still within the
+/// restart at once, some readers get no query in the first second. Still within the
 /// shortest time in which changes must be in force.
 const NON_READER_PEER_SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -58,9 +58,9 @@
 /// Same as [`CHECK_INTERVAL`] for a node without any state yet: callers are waiting for it.
 const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A peer that has been ahead for this long shows that this node's own long poll is dead: usually
-/// all nodes hear of a change within a few milliseconds, or [`BATCH_DELAY`] later. With a shorter
-/// time, each burst of changes would send half of the fleet to the platform.
+/// A peer that has been ahead for this long shows that this node's own long poll delivers nothing:
+/// usually all nodes receive a change within a few milliseconds, or [`BATCH_DELAY`] later. With a
+/// shorter time, each burst of changes would send half of the fleet to the platform.
 const MIN_BEHIND_TIME: Duration = Duration::from_millis(350);
 
 /// A part of the platform's state that a node follows.
@@ -261,8 +261,8 @@
 
 /// Rejects a response that was in flight when the platform was rolled back.
 fn reject_older_era(node: &Node, topic: Topic, batch: Batch) -> Result<Batch, SourceError> {
-    let seen = *node.state.borrow_mut().progress_mut(topic);
-    match history::era(batch.cursor) < history::era(seen.up_to) {
+    let progress = *node.state.borrow_mut().progress_mut(topic);
+    match history::era(batch.cursor) < history::era(progress.up_to) {
         true => Err(SourceError::HistoryGone),
         false => Ok(batch),
     }
@@ -273,9 +273,9 @@
 /// a zone that has been evacuated since. The next read delivers what changed after the older
 /// state.
 fn without_stale_evacuations(node: &Node, topic: Topic, mut batch: Batch) -> Batch {
-    let seen = *node.state.borrow_mut().progress_mut(topic);
-    let is_same_era = history::era(batch.cursor) == history::era(seen.up_to);
-    if topic == Topic::Config && is_same_era && batch.cursor < seen.newest {
+    let progress = *node.state.borrow_mut().progress_mut(topic);
+    let is_same_era = history::era(batch.cursor) == history::era(progress.up_to);
+    if topic == Topic::Config && is_same_era && batch.cursor < progress.newest {
         batch.events.retain(|event| !matches!(event, Event::Evacuation { .. }));
         let zones = node.state.borrow().evacuations.zones().clone();
         let known = zones.into_iter().map(|zone| Event::Evacuation { zone, is_evacuated: true });
@@ -325,15 +325,16 @@
             true => PEER_SEARCH_TIMEOUT,
             false => NON_READER_PEER_SEARCH_TIMEOUT,
         };
-        let is_sure = state.is_fresh(topic, Instant::now());
+        let is_fresh = state.is_fresh(topic, Instant::now());
         state.reads_directly
-            && is_sure
+            && is_fresh
             && !node.subscribers.is_in_use()
             && since.elapsed() < timeout
     };
     wait_while(CHECK_INTERVAL, may_wait).await;
 }
 
+/// Waits until this node reads through a peer instead of directly.
 async fn wait_until_indirect(node: &Node) {
     wait_while(CHECK_INTERVAL, || node.state.borrow().reads_directly).await;
 }
@@ -394,12 +395,12 @@
 /// copy since the previous read.
 fn record_progress(node: &Node, topic: Topic, up_to: Cursor, newest: Cursor) -> bool {
     let state = &mut *node.state.borrow_mut();
-    let seen = state.progress_mut(topic);
-    let (era, before) = (history::era(up_to), history::era(seen.up_to));
-    let rolled_back = seen.has_read && era > before;
-    seen.has_read = true;
-    seen.up_to = seen.up_to.max(up_to);
-    seen.newest = seen.newest.max(newest);
+    let progress = state.progress_mut(topic);
+    let (era, before) = (history::era(up_to), history::era(progress.up_to));
+    let rolled_back = progress.has_read && era > before;
+    progress.has_read = true;
+    progress.up_to = progress.up_to.max(up_to);
+    progress.newest = progress.newest.max(newest);
     if rolled_back {
         state.store_rollbacks += 1;
         trace::Line::new("store_went_back")
--- a/crates/edge/src/follow/apply.rs
+++ b/crates/edge/src/follow/apply.rs
@@ -88,8 +88,8 @@
     });
 }
 
-/// Changes which availability zones are evacuated. Subscribers get a frame even if nothing
-/// changed: without news of how far this node has read, they consider themselves behind it.
+/// Changes which availability zones are evacuated. Subscribers get a frame even if nothing changed:
+/// without the position up to which this node has read, they consider themselves behind it.
 fn update_evacuations(node: &Node, change: impl FnOnce(&mut place::Evacuations)) {
     let changed = node.state.borrow_mut().update_evacuations(change);
     node.subscribers.broadcast(&relay::Frame::evacuated(&node.state.borrow()));
@@ -139,7 +139,8 @@
 
 fn apply_changes(node: &Node, changes: &[place::Change], now: Instant) {
     if changes.is_empty() {
-        // Without news of how far this node has read, subscribers consider themselves behind it.
+        // Without the position up to which this node has read, subscribers consider themselves
+        // behind it.
         node.subscribers.broadcast(&relay::Frame::progress(&node.state.borrow()));
         return;
     }
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -68,8 +68,8 @@
                 member::Event::Finding(finding) => node.merge_finding(&finding, "a peer"),
                 member::Event::Notice(notice) => node.apply_peer_notice(&notice),
                 member::Event::DigestMismatch { addr, held_digest } => {
-                    let known = node.state.borrow().quarantine.findings_for_peer(held_digest);
-                    out.extend(members.send_findings(addr, known, now));
+                    let findings = node.state.borrow().quarantine.findings_for_peer(held_digest);
+                    out.extend(members.send_findings(addr, findings, now));
                 }
                 event => apply(&node, event),
             }
--- a/crates/edge/src/holds.rs
+++ b/crates/edge/src/holds.rs
@@ -1,10 +1,11 @@
 //! Stores quarantined requests at the platform.
 //!
 //! Findings that only nodes have are lost when all nodes are restarted at the same moment, and the
-//! request would crash upstreams again. The first by address among the nodes that serve writes
-//! each such finding to the platform, and while there is one it waits there for an operator to
-//! lift it. After a restart of all nodes that node reads the stored findings, and the others get
-//! them from it. While no request is quarantined, no other call is made.
+//! request would crash upstreams again. Among the nodes that serve, the first by address is the
+//! writer: it writes each such finding to the platform and, while a request is quarantined,
+//! long-polls the platform for an operator's decision to lift it. After a restart of all nodes the
+//! writer reads the stored findings, and the others get them from it. While no request is
+//! quarantined, no other call is made.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -75,11 +76,11 @@
     /// Reads all findings.
     fn all(&self) -> impl Future<Output = Result<Batch, SourceError>>;
 
-    /// Waits up to `wait` for findings that changed after `cursor`.
+    /// Waits up to `long_poll_timeout` for findings that changed after `cursor`.
     fn changes(
         &self,
         cursor: Cursor,
-        wait: Duration,
+        long_poll_timeout: Duration,
     ) -> impl Future<Output = Result<Batch, SourceError>>;
 
     /// Writes a finding in place of the one written at `expected`, or of none if that is 0;
@@ -164,13 +165,13 @@
     }
 }
 
-/// Returns true if this node is the one that writes findings and waits for operators' decisions.
+/// Returns true if this node is the writer of findings, which also waits for operators' decisions.
 fn is_writer(state: &State) -> bool {
     record::is_recorder(state, Duration::ZERO) && !state.roster.store_is_unreachable()
 }
 
-/// Returns true if a restarted node must read the stored findings, since it is the one that writes
-/// them: all other nodes may have been restarted at the same moment.
+/// Returns true if a restarted node must read the stored findings, since it is the writer: all
+/// other nodes may have been restarted at the same moment.
 fn must_read_at_start(state: &State) -> bool {
     let is_settled = state.started_at.elapsed() >= PEER_DISCOVERY_TIME;
     !state.settings.bootstrap && is_settled && is_writer(state)
@@ -180,8 +181,8 @@
 pub async fn run<H: Holds>(holds: H, node: Rc<Node>) {
     let mut stored: Option<StoredHolds> = None;
     let mut pause = RETRY_BACKOFF.0;
-    // Whether the stored findings were read from an older copy, and the number of rollbacks by
-    // then.
+    // Whether the findings were read before the platform's latest rollback, and the number of
+    // rollbacks so far.
     let (mut is_outdated, mut rollbacks) = (false, 0);
     loop {
         monoio::time::sleep(CHECK_INTERVAL).await;
@@ -259,7 +260,7 @@
     Ok(true)
 }
 
-/// Returns once this node has something to write, or is no longer the one that waits.
+/// Returns once this node has something to write, or is no longer the writer.
 async fn wait_until_due(node: &Node, stored: &StoredHolds) {
     while stored.next_due(node).is_none() && is_writer(&node.state.borrow()) {
         monoio::time::sleep(CHECK_INTERVAL).await;
--- a/crates/edge/src/readers.rs
+++ b/crates/edge/src/readers.rs
@@ -1,8 +1,8 @@
 //! Selects which nodes read the platform directly, and through whom the others read it.
 //!
 //! Every call to the platform is paid for, and a change costs one call of each node that
-//! long-polls it. A few nodes per zone, the readers, do; the others hear of changes from one of
-//! these a few milliseconds later. The subscribers of a reader notice when it fails or falls
+//! long-polls it. A few nodes per zone, the readers, do so; the others receive each change from
+//! one of these a few milliseconds later. The subscribers of a reader notice when it fails or falls
 //! behind ([`crate::follow::wait_until_behind`]). They connect to another reader and, if that
 //! fails too, read the platform themselves.
 
@@ -17,7 +17,7 @@
 use crate::state::State;
 use crate::Settings;
 
-/// Minimum number of readers in the whole fleet: if one is partitioned, two others still hear of
+/// Minimum number of readers in the whole fleet: if one is partitioned, two others still receive
 /// changes and show its subscribers that they are behind.
 const MIN_READERS: usize = 3;
 
@@ -27,7 +27,7 @@
 /// Same as [`READER_FALLBACK_TIMEOUT`] for a node without any state yet.
 const NEW_NODE_FALLBACK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time for which a node that its reader dropped looks for another one before it reads the
+/// Time for which a node whose reader dropped it looks for another reader, before it reads the
 /// platform itself. When the platform resets its connections, all readers lose it in the same
 /// moment and are back at once. A partitioned reader notices after 1.2 s, and what it missed must
 /// be in force within two seconds.
@@ -54,8 +54,8 @@
 /// back.
 const MAX_FAILING_CALLS_PER_S: f64 = 60.0;
 
-/// Maximum backoff of a node that is not a reader. A reader that gets responses again takes it
-/// back as a subscriber within two seconds. With 2.5 s, most of 312 nodes read everything
+/// Maximum backoff of a node that is not a reader. A reader that gets responses again accepts the
+/// node as a subscriber within two seconds. With 2.5 s, most of 312 nodes read everything
 /// themselves before that, and tried in vain three times in an outage of eight seconds.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(6);
 
@@ -125,8 +125,9 @@
 /// platform; when nodes are restarted one by one without this, each makes three calls and serves
 /// only 90 ms after its start over a link of 20 Mbit/s. A seed that has just started declines at
 /// once, and the node reads the platform. If three nodes read the platform for all others after a
-/// restart of the whole fleet, that would save 900 of 1,770 calls on such a day, but nodes would
-/// serve after 0.5 s instead of 0.09 s (a share of 0.087 of the requests in these two seconds).
+/// restart of the whole fleet, that would save 900 of the 1,770 calls of such a day, but nodes
+/// would serve after 0.5 s instead of 0.09 s (a share of 0.087 of the requests in these two
+/// seconds).
 pub fn begins_with_seeds(settings: &Settings) -> bool {
     let seeds = &settings.seed_addrs;
     !seeds.is_empty() && !seeds.contains(&settings.peer_addr)
@@ -134,7 +135,7 @@
 
 /// Returns true while this node reads through the seeds: it has just started and does not know the
 /// readers yet. A restarted node that has read the platform itself does not: another list of 30 KB
-/// from another zone would tell it nothing.
+/// from another zone would contain nothing new.
 fn reads_through_seeds(state: &State, now: Instant) -> bool {
     let needs_seeds = state.settings.bootstrap || !state.has_read_all_topics();
     needs_seeds && begins_with_seeds(&state.settings) && !knows_peers(state, now)
@@ -176,8 +177,8 @@
     }
 }
 
-/// Returns true if a node without a reader may wait for one: nothing that callers wait for is late
-/// yet.
+/// Returns true if a node without a reader may wait for one: it serves from the state that it has,
+/// or there are no callers yet.
 fn may_search(state: &State) -> bool {
     !state.reads_directly && (state.has_read_all_topics() || state.settings.bootstrap)
 }
@@ -207,7 +208,7 @@
                 serving
             }
         }
-        in_step if (in_step || searching) && reads_through_seeds(state, now) => {
+        has_state if (has_state || searching) && reads_through_seeds(state, now) => {
             let seeds = state.settings.seed_addrs.iter().copied().filter(usable);
             same_zone_seeds(state, seeds.collect())
         }
--- a/crates/edge/src/record.rs
+++ b/crates/edge/src/record.rs
@@ -68,7 +68,7 @@
 }
 
 impl Unrecorded {
-    /// Adds that `table` replaced `before`.
+    /// Adds the change from `before` to `table`.
     pub fn push(&mut self, before: Option<Rc<Table>>, table: Rc<Table>) {
         let at_unix_ms =
             SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -6,7 +6,7 @@
 //! through an outage. Frames are encoded with postcard behind a length prefix of four bytes.
 
 mod frame;
-mod newcomers;
+mod new_nodes;
 mod serve;
 mod subscribe;
 mod subscribers;
--- a/crates/edge/src/relay/frame.rs
+++ b/crates/edge/src/relay/frame.rs
@@ -58,7 +58,8 @@
     }
 }
 
-/// Queries as of when the frames so far are complete. The greeting implies one such query.
+/// Asks the peer up to which time its frames so far are complete. The greeting implies one such
+/// query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct AgeQuery {
     /// Time of the query, relative to the start of the subscription at the subscriber. The
@@ -69,7 +70,7 @@
 /// A message to a subscriber.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Response to a [`AgeQuery`]: everything that the peer knew was sent in earlier frames.
+    /// Response to an [`AgeQuery`]: everything that the peer knew was sent in earlier frames.
     #[serde(rename = "Sure")]
     Ages {
         /// Taken from the query.
@@ -93,8 +94,8 @@
         /// How long the peer has had it.
         held_for: Duration,
     },
-    /// The evacuated availability zones. The frame also means that nothing else about the
-    /// operator's settings is new.
+    /// The evacuated availability zones. The frame also means that nothing else that operators have
+    /// set changed up to its position.
     Evacuated {
         /// Position up to which the peer has read the configuration's history.
         up_to: Cursor,
@@ -150,33 +151,33 @@
 
     /// Returns the frame with the current configuration.
     pub fn config(state: &State) -> Frame {
-        let seen = state.config_progress;
+        let progress = state.config_progress;
         let table = state.table.as_deref().cloned();
         let held_for = state.table_applied_at.elapsed();
-        Frame::Config { up_to: seen.up_to, newest: seen.newest, table, held_for }
+        Frame::Config { up_to: progress.up_to, newest: progress.newest, table, held_for }
     }
 
     /// Returns the frame with the evacuated zones.
     pub fn evacuated(state: &State) -> Frame {
-        let (seen, zones) = (state.config_progress, state.evacuations.zones().clone());
-        Frame::Evacuated { up_to: seen.up_to, newest: seen.newest, zones }
+        let (progress, zones) = (state.config_progress, state.evacuations.zones().clone());
+        Frame::Evacuated { up_to: progress.up_to, newest: progress.newest, zones }
     }
 
     /// Returns the frame with the position up to which the list was read.
     pub fn progress(state: &State) -> Frame {
-        let seen = state.list_progress;
-        Frame::Progress { up_to: seen.up_to, newest: seen.newest }
+        let progress = state.list_progress;
+        Frame::Progress { up_to: progress.up_to, newest: progress.newest }
     }
 
     /// Returns the frame with applied changes.
     pub fn changes(state: &State, changes: &[Change]) -> Frame {
-        let seen = state.list_progress;
+        let progress = state.list_progress;
         let event = |change: &Change| match change {
             Change::Put(entry) => Event::Put(entry.clone()),
             Change::Drop { upstream, .. } => Event::Gone(upstream.id.clone()),
         };
         let events = changes.iter().map(event).collect();
-        Frame::Changes { up_to: seen.up_to, newest: seen.newest, events }
+        Frame::Changes { up_to: progress.up_to, newest: progress.newest, events }
     }
 
     /// Returns true if the frame lacks a change that this node has already seen.
--- a/crates/edge/src/relay/new_nodes.rs
+++ b/crates/edge/src/relay/new_nodes.rs
@@ -16,9 +16,9 @@
 /// the other dies.
 const MAX_SERVED_PER_ZONE: usize = 2;
 
-/// Number of new nodes that are referred to each of the others. With four, 62 nodes of a zone that
-/// connect to three seeds are at most three steps from their seed; each step takes 60 ms over a
-/// link of 20 Mbit/s.
+/// Maximum number of new nodes that are referred to the same node. With four, 62 nodes of a zone
+/// that connect to three seeds are at most three steps from their seed; each step takes 60 ms over
+/// a link of 20 Mbit/s.
 const FAN_OUT: usize = 4;
 
 /// Time for which other nodes are referred to a new node. The nodes of a fleet start at most 0.3 s
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 struct NewNode {
     addr: SocketAddr,
-    requested_at: Instant,
+    connected_at: Instant,
 }
 
 impl NewNodes {
@@ -50,7 +50,7 @@
         now: Instant,
     ) -> Option<SocketAddr> {
         let zone = self.by_zone.entry(zone.clone()).or_default();
-        let is_new = |n: &NewNode| now.saturating_duration_since(n.requested_at) < REFERRAL_TTL;
+        let is_new = |n: &NewNode| now.saturating_duration_since(n.connected_at) < REFERRAL_TTL;
         if !zone.iter().all(is_new) {
             // All at once: a referral must never lead to a node that connected later.
             zone.clear();
@@ -59,7 +59,7 @@
             return None;
         }
         let before = zone.len();
-        zone.push(NewNode { addr, requested_at: now });
+        zone.push(NewNode { addr, connected_at: now });
         before.checked_sub(MAX_SERVED_PER_ZONE).map(|rank| zone[rank / FAN_OUT].addr)
     }
 }
--- a/crates/edge/src/relay/serve.rs
+++ b/crates/edge/src/relay/serve.rs
@@ -14,14 +14,16 @@
 use crate::forward::Node;
 use crate::state::State;
 
-/// A subscriber that sends no query for this long is gone. Subscribers send several a second.
+/// A subscriber for which no frame is queued for this long is gone: subscribers send several
+/// queries a second, and each gets a response frame.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Interval at which a reader with subscribers checks that it reaches the platform; also the
 /// timeout of the check.
 const PATH_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Number of consecutive failed checks that count as a lost path: a single lost packet does not.
+/// Number of consecutive failed checks after which the platform counts as out of reach: a single
+/// lost packet is not enough.
 const PATH_FAILURE_THRESHOLD: u32 = 2;
 
 /// Drops this node's subscribers while it does not reach the platform.
@@ -88,7 +90,7 @@
 /// the subscriber tries another one.
 fn may_become_ready(state: &State, greeting: &Greeting) -> bool {
     match greeting.is_new_node {
-        // It reads the platform sooner than this node, which has just started too.
+        // The new node reads the platform sooner than this node, which has just started too.
         true => greeting.was_referred,
         false => {
             greeting.accepts_stale
--- a/crates/edge/src/relay/subscribe.rs
+++ b/crates/edge/src/relay/subscribe.rs
@@ -45,10 +45,12 @@
 /// Time after which a reader that the platform rejected tries the platform again.
 const PLATFORM_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Keeps this node reading the platform the way it should, forever.
+/// Selects how this node reads the platform, and reads through the selected peer if there is one,
+/// forever.
 pub async fn run(node: Rc<Node>) {
     let mut excluded: HashMap<SocketAddr, Instant> = HashMap::new();
-    // Time of the newest frame from a peer; a starting node may look for a peer first, too.
+    // Time of the newest frame from a peer. Begins with the start of the node, which may look for
+    // a peer first, too.
     let mut last_frame_at = Instant::now();
     let mut next_referral: Option<SocketAddr> = None;
     loop {
@@ -295,9 +297,9 @@
         let reads_directly = readers::is_reader(&state, state.settings.peer_addr);
         let is_rejected =
             state.roster.store_is_unreachable() && since.elapsed() < PLATFORM_RETRY_INTERVAL;
-        let has_no_alternative = !state.is_ready() || since.elapsed() < PLATFORM_RETRY_INTERVAL;
-        let peer_is_no_reader = !readers::is_reader(&state, peer) && !has_no_alternative;
-        if (reads_directly && !is_rejected) || peer_is_no_reader {
+        let may_stay = !state.is_ready() || since.elapsed() < PLATFORM_RETRY_INTERVAL;
+        let must_leave = !readers::is_reader(&state, peer) && !may_stay;
+        if (reads_directly && !is_rejected) || must_leave {
             return;
         }
     }
--- a/crates/edge/src/relay/subscribers.rs
+++ b/crates/edge/src/relay/subscribers.rs
@@ -10,7 +10,7 @@
 use smol_str::SmolStr;
 
 use super::frame::{encode, Frame};
-use super::newcomers::NewNodes;
+use super::new_nodes::NewNodes;
 use crate::state::State;
 
 /// Maximum number of frames queued for a subscriber. A slower one is dropped and connects again.
@@ -27,7 +27,7 @@
     new_nodes: RefCell<NewNodes>,
 }
 
-/// Counts a peer as pending while it is alive.
+/// Guard that counts a peer as pending until it is dropped.
 pub(super) struct Pending<'a>(&'a Cell<usize>);
 
 impl Drop for Pending<'_> {
@@ -78,8 +78,8 @@
         };
         let entries = self.entries.borrow_mut().get_or_insert_with(encoded).clone();
         // The position advances even while the upstreams stay the same.
-        let seen = state.list_progress;
-        Frame::List { up_to: seen.up_to, newest: seen.newest, entries }
+        let progress = state.list_progress;
+        Frame::List { up_to: progress.up_to, newest: progress.newest, entries }
     }
 
     /// Discards the encoded list after a change of upstreams.
