--- a/crates/edge/src/conns.rs
+++ b/crates/edge/src/conns.rs
@@ -38,7 +38,7 @@
     _open_guard: OpenGuard,
 }
 
-/// Counts a connection as open until it is dropped.
+/// Guard that counts a connection as open until it is dropped.
 struct OpenGuard(Rc<Cell<u32>>);
 
 impl OpenGuard {
@@ -146,8 +146,8 @@
         Conn::open(addr, timeout, open_guard).await
     }
 
-    /// Takes the most recently used connection that can still carry a request; discards the unusable
-    /// ones that it meets.
+    /// Takes the most recently used connection that can still carry a request; discards the
+    /// unusable ones that it meets.
     pub async fn take(&self, upstream: &Incarnation) -> Option<Conn> {
         loop {
             let mut conn = self.idle.borrow_mut().get_mut(upstream)?.pop()?;
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -21,7 +21,7 @@
 
 /// A request as it is sent to an upstream.
 pub struct OutgoingRequest {
-    /// Method.
+    /// Method, which also decides whether the response has a body.
     pub method: Method,
     /// Head and the first bytes of the body, encoded.
     pub bytes: Vec<u8>,
@@ -46,8 +46,8 @@
 }
 
 impl Response {
-    /// Returns the length of the body in bytes: the announced one where there is one, otherwise that
-    /// of what was received so far.
+    /// Returns the length of the body in bytes: the announced one where there is one, otherwise
+    /// that of what was received so far.
     pub fn known_bytes(&self) -> usize {
         match (&self.body, self.head.framing) {
             (ResponseBody::Partial(..), h1::Framing::Length(length)) => length as usize,
@@ -108,8 +108,8 @@
 /// Sends `request` and receives its response; also returns the connection if it can be reused.
 ///
 /// `write_rest` sends what follows the first bytes of the request, such as a streamed body.
-/// `on_response_head` is called with the head of every response, those to earlier requests and those
-/// that are not passed on included.
+/// `on_response_head` is called with the head of every response, those to earlier requests and
+/// those that are not passed on included.
 pub async fn run<F>(
     mut conn: Conn,
     request: OutgoingRequest,
@@ -184,7 +184,8 @@
     Ok((head, had_mismatched, sent))
 }
 
-/// Classifies a response.
+/// Returns the outcome that a response stands for: one that says that the request did not run,
+/// one that cannot be passed on as it is not signed or is encoded, or one that can.
 fn classify(head: h1::ResponseHead, body: ResponseBody, names: &HeaderNames) -> Outcome {
     let is_encoded = head.headers.contains_key(http::header::CONTENT_ENCODING);
     let is_signed = head.headers.contains_key(&names.signature);
--- a/crates/edge/src/forward.rs
+++ b/crates/edge/src/forward.rs
@@ -1,9 +1,10 @@
 //! Forwards a request to upstreams: routing, sends, retries, hedges, outcome.
 //!
-//! [`retries`] decides on the sends of a request, [`choose`] picks the upstream of each, and [`send`]
-//! performs it and records its outcome. [`call`] is the state of a request, [`content`] its content key.
-//! [`crash_detection`] detects upstreams that crashed while running requests, and [`quarantined`] keeps
-//! such requests from other upstreams. [`notices`] applies the backpressure signals of responses.
+//! [`retries`] decides on the sends of a request, [`choose`] picks the upstream of each, and
+//! [`send`] performs it and records its outcome. [`call`] is the state of a request, [`content`]
+//! its content key. [`crash_detection`] detects upstreams that crashed while running requests, and
+//! [`quarantined`] keeps such requests from other upstreams. [`notices`] applies the backpressure
+//! signals of responses.
 
 mod call;
 mod choose;
@@ -41,19 +42,19 @@
 use crate::reply::LocalReply;
 use crate::state::SharedState;
 
-/// A connection that was idle for less than this is assumed to be open at its upstream. Some upstreams
-/// drop idle connections after 0.3 s; a request between zones takes 2 ms to arrive.
+/// A connection that was idle for less than this is assumed to be open at its upstream. Some
+/// upstreams drop idle connections after 0.3 s; a request between zones takes 2 ms to arrive.
 const MIN_IDLE_TO_VERIFY: Duration = Duration::from_millis(100);
 
-/// Time since the start of the process during which requests wait for the configuration and the list
-/// of upstreams. Both are read within 0.25 s (110 kB over a link of 10 Mbit/s, after a startup of
-/// 0.05 s), and within 0.5 s from a platform that takes sixty times as long as usual. If requests were
-/// refused instead after a restart of the whole fleet, each caller would use up one of its few
-/// attempts and retry later than the node is ready.
+/// Time since the start of the process during which requests wait for the configuration and the
+/// list of upstreams. Both are read within 0.25 s (110 kB over a link of 10 Mbit/s, after a startup
+/// of 0.05 s), and within 0.5 s from a platform that takes sixty times as long as usual. If
+/// requests were refused instead after a restart of the whole fleet, each caller would use up one
+/// of its few attempts and retry later than the node is ready.
 const MAX_STARTUP_WAIT: Duration = Duration::from_secs(1);
 
-/// Longest such wait, as a ratio of the deadline that the caller states: some callers abandon an
-/// attempt after a third of their deadline.
+/// Longest wait for the start of the node, as a ratio of the deadline that the caller states: some
+/// callers abandon an attempt after a third of their deadline.
 const STARTUP_WAIT_RATIO: f64 = 0.25;
 
 /// Interval at which a waiting request checks whether the node has started.
@@ -88,7 +89,8 @@
 pub struct Caller {
     /// When its request was received.
     pub received_at: Instant,
-    /// Whether it has disconnected. Sends in flight then run to their end, and no further ones are made.
+    /// Whether it has disconnected. Sends in flight then run to their end, and no further ones are
+    /// made.
     pub has_left: Rc<Cell<bool>>,
 }
 
@@ -102,9 +104,9 @@
 /// Body of a caller's request.
 pub enum Body<'a> {
     /// Received in full, and short enough to be sent more than once.
-    Whole(Bytes),
+    Full(Bytes),
     /// Its first bytes; the remainder is still to be received from the caller.
-    Long {
+    Partial {
         /// What was received so far.
         first: Bytes,
         /// Reader of the caller's connection.
@@ -118,7 +120,7 @@
     /// Returns what was received of the body.
     fn received(&self) -> &Bytes {
         match self {
-            Body::Whole(body) | Body::Long { first: body, .. } => body,
+            Body::Full(body) | Body::Partial { first: body, .. } => body,
         }
     }
 }
@@ -128,7 +130,7 @@
     /// Response of an upstream, to be passed on.
     Upstream(Response),
     /// Response of the node itself.
-    Own(LocalReply),
+    Local(LocalReply),
 }
 
 impl Node {
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Takes one probe out of the budget; returns true when that succeeds and upstreams of the service
-    /// report their load, which means that they respond to probes at once.
+    /// Takes one probe out of the budget; returns true when that succeeds and upstreams of the
+    /// service report their load, which means that they respond to probes at once.
     fn may_verify(&self, service: &ServiceName) -> bool {
         let pools = &self.state.borrow().pools;
         let reports_load = pools.get(service).and_then(|pool| pool.reports_load()) == Some(true);
@@ -262,7 +264,10 @@
         };
         let Some(table) = table else {
             trace::Line::new("no_config").field("request", request_id_of(head, &names)).log();
-            return Reply::Own(LocalReply::not_run(RETRY_AFTER_NOT_READY, "no configuration yet"));
+            return Reply::Local(LocalReply::not_run(
+                RETRY_AFTER_NOT_READY,
+                "no configuration yet",
+            ));
         };
         let Some(route) = table.find(&head.host, head.path()) else {
             trace::Line::new("no_route")
@@ -271,12 +276,12 @@
                 .field("path", head.path())
                 .field("config", table.version)
                 .log();
-            return Reply::Own(LocalReply::failed(StatusCode::NOT_FOUND, "no such route"));
+            return Reply::Local(LocalReply::failed(StatusCode::NOT_FOUND, "no such route"));
         };
         let mut ids = head.headers.get_all(&names.request_id).iter();
         let (Some(request_id), None) = (ids.next().cloned(), ids.next()) else {
             let text = "exactly one request id is required";
-            return Reply::Own(LocalReply::failed(StatusCode::BAD_REQUEST, text));
+            return Reply::Local(LocalReply::failed(StatusCode::BAD_REQUEST, text));
         };
         let allowed = stated_deadline
             .map_or(route.timeout, |stated_deadline| stated_deadline.min(route.timeout));
@@ -287,7 +292,7 @@
                 .field("request", request_id_of(head, &names))
                 .field("reason", "stopping")
                 .log();
-            return Reply::Own(LocalReply::not_run(
+            return Reply::Local(LocalReply::not_run(
                 RETRY_AFTER_OTHER_NODE,
                 "this node is stopping",
             ));
@@ -322,30 +327,31 @@
             Err(_) => {
                 call.log_line("timed_out").log();
                 match call.sends.borrow().is_empty() {
-                    true => {
-                        Reply::Own(LocalReply::not_run(RETRY_AFTER_OTHER_NODE, "not sent in time"))
-                    }
-                    false => Reply::Own(LocalReply::failed(
+                    true => Reply::Local(LocalReply::not_run(
+                        RETRY_AFTER_OTHER_NODE,
+                        "not sent in time",
+                    )),
+                    false => Reply::Local(LocalReply::failed(
                         StatusCode::GATEWAY_TIMEOUT,
                         "no answer in time",
                     )),
                 }
             }
         };
-        self.count(&call, &reply);
+        self.count_outcome(&call, &reply);
         reply
     }
 
     /// Records that the caller of a request left before it got a response.
-    pub fn caller_left(&self, head: &h1::RequestHead) {
+    pub fn record_caller_left(&self, head: &h1::RequestHead) {
         let mut state = self.state.borrow_mut();
         state.counters.abandoned += 1;
         let id = request_id_of(head, &state.settings.headers);
         trace::Line::new("caller_left").field("request", id).log();
     }
 
-    /// Waits while the node has just started and lacks the configuration or the list of upstreams, at
-    /// most until `until`.
+    /// Waits while the node has just started and lacks the configuration or the list of upstreams,
+    /// at most until `until`.
     async fn wait_until_started(&self, until: Instant) {
         let should_wait = || {
             let state = self.state.borrow();
@@ -371,8 +377,8 @@
     }
 
     /// Counts the outcome of a request. One whose caller has left is only counted by
-    /// [`Node::caller_left`], as nobody was answered or refused.
-    fn count(&self, call: &Call<'_>, reply: &Reply) {
+    /// [`Node::record_caller_left`], as nobody was answered or refused.
+    fn count_outcome(&self, call: &Call<'_>, reply: &Reply) {
         if call.caller_left.get() {
             return;
         }
@@ -381,15 +387,15 @@
         }
         let outcome = match reply {
             Reply::Upstream(_) => "answered",
-            Reply::Own(own) if own.retry_after.is_some() => "refused",
-            Reply::Own(_) => "failed",
+            Reply::Local(local_reply) if local_reply.retry_after.is_some() => "refused",
+            Reply::Local(_) => "failed",
         };
         self.metrics.record_request(call.received_at.elapsed(), outcome);
         let counters = &mut self.state.borrow_mut().counters;
         match reply {
             Reply::Upstream(_) => counters.answered += 1,
-            Reply::Own(own) if own.retry_after.is_some() => counters.refused += 1,
-            Reply::Own(_) => counters.failed += 1,
+            Reply::Local(local_reply) if local_reply.retry_after.is_some() => counters.refused += 1,
+            Reply::Local(_) => counters.failed += 1,
         }
     }
 }
--- a/crates/edge/src/forward/call.rs
+++ b/crates/edge/src/forward/call.rs
@@ -59,8 +59,8 @@
     pub(super) predicted_latency: Duration,
     pub(super) report_age: Option<Duration>,
     /// Whether the latency of the request measures its work: a recent report says that the upstream
-    /// runs at its usual speed, has a free slot and is not nearly full. Near full the same work takes
-    /// half as long again, which would be counted twice, in the work and in the prediction.
+    /// runs at its usual speed, has a free slot and is not nearly full. Near full the same work
+    /// takes half as long again, which would be counted twice, in the work and in the prediction.
     pub(super) latency_measures_work: bool,
 }
 
@@ -105,19 +105,19 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Returns the time left of the latency objective; the time for which the caller has been retrying
-    /// counts against it.
+    /// Returns the time left of the latency objective; the time for which the caller has been
+    /// retrying counts against it.
     pub(super) fn objective_left(&self) -> Duration {
         let left = self.route.objective.saturating_sub(self.retrying_for);
         (self.received_at + left).saturating_duration_since(Instant::now())
     }
 
-    pub(super) fn repeatable(&self) -> bool {
+    pub(super) fn is_idempotent(&self) -> bool {
         self.route.retry_policy == RetryPolicy::Idempotent
     }
 
-    /// Returns the content key: the same for all request ids that the caller uses. It is computed on
-    /// first use, so that most requests are spared the digest.
+    /// Returns the content key: the same for all request ids that the caller uses. It is computed
+    /// on first use, so that most requests are spared the digest.
     pub(super) fn content(&self) -> ContentKey {
         *self.content.get_or_init(|| content::of(self.head, &self.body_start))
     }
--- a/crates/edge/src/forward/choose.rs
+++ b/crates/edge/src/forward/choose.rs
@@ -10,8 +10,10 @@
 use super::{Node, RETRY_AFTER_NOT_READY};
 use crate::{probe, start_of};
 
-/// Upstreams probed for their load at once, and rounds of probes before one choice.
+/// Upstreams probed for their load at once.
 const MAX_PROBES_PER_ROUND: usize = 3;
+
+/// Rounds of probes before one choice.
 const MAX_PROBE_ROUNDS: usize = 2;
 
 /// Upstreams probed over a new connection, in the first round only.
@@ -19,12 +21,12 @@
 
 /// Requests that an additional connection must be expected to carry for a probe to be worth opening
 /// it. Where a node sends an upstream one request every nine seconds, a second connection is closed
-/// before it is reused: that made up 4,053 of the 9,270 connections of 312 nodes on a quiet day. Where
-/// a node sends several requests a second, load reports would be missed without it.
+/// before it is reused: that made up 4,053 of the 9,270 connections of 312 nodes on a quiet day.
+/// Where a node sends several requests a second, load reports would be missed without it.
 const MIN_REQUESTS_PER_CONNECTION: f64 = 2.0;
 
-/// Time after which an idle connection is closed: upstreams typically state ten seconds, of which the
-/// last second is not used.
+/// Time after which an idle connection is closed: upstreams typically state ten seconds, of which
+/// the last second is not used.
 const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// Connections that a node may open to an upstream however many nodes share its limit.
@@ -33,8 +35,8 @@
 /// Shortest `Retry-After` when no upstream may get a request.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Longest random extension of that time, as a ratio of it, so that callers do not retry all at the
-/// same moment.
+/// Longest random extension of a `Retry-After`, as a ratio of it, so that callers do not all retry
+/// at the same moment.
 const RETRY_AFTER_JITTER_RATIO: f64 = 0.25;
 
 /// Whether a request may wait at the node for a free slot of an upstream.
@@ -47,8 +49,8 @@
 }
 
 impl Node {
-    /// Chooses the upstream for the next send. Probes upstreams for their load first where that helps,
-    /// and waits for a free slot where the request can still be in time.
+    /// Chooses the upstream for the next send. Probes upstreams for their load first where that
+    /// helps, and waits for a free slot where the request can still be in time.
     pub(super) async fn choose(
         self: &Rc<Node>,
         call: &Call<'_>,
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Ranks the upstreams after up to `rounds` of probes. Up to `max_new_connections` probes of the
-    /// first round go over new connections.
+    /// Ranks the upstreams after up to `rounds` of probes. Up to `max_new_connections` probes of
+    /// the first round go over new connections.
     async fn probe_and_rank(
         self: &Rc<Node>,
         call: &Call<'_>,
@@ -154,8 +156,8 @@
         }
     }
 
-    /// Returns when the caller of a request that no upstream may get is to retry: when the first of
-    /// them may get requests again, if that is known.
+    /// Returns the error for a request that no upstream may get. Its caller is to retry when the
+    /// first of the upstreams becomes available again, if that is known.
     fn no_upstream(&self, call: &Call<'_>) -> NoChoice {
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
@@ -192,7 +194,7 @@
             allowed_zones: allowed_zones.as_ref(),
             warm_up: state.warm_up(&call.service, now),
             tried,
-            repeatable: call.repeatable(),
+            repeatable: call.is_idempotent(),
         };
         // Upstreams reset connections beyond their limit for all nodes together, and a request sent
         // on one that is reset may have run.
@@ -202,9 +204,9 @@
         let requests_per_connection = state.first_sends_per_s(&call.service, now)
             * CONNECTION_IDLE_TIMEOUT.as_secs_f64()
             / pool.compared_count() as f64;
-        let notices = &state.backpressure;
+        let backpressure = &state.backpressure;
         let may_send = |upstream: &Incarnation| {
-            notices.is_empty() || notices.may_send(start_of(upstream), now)
+            backpressure.is_empty() || backpressure.may_send(start_of(upstream), now)
         };
         let connection_plan = |upstream: &Incarnation| match self.conns.open_count(upstream) {
             _ if !may_send(upstream) => ConnectionPlan::Unavailable,
--- a/crates/edge/src/forward/content.rs
+++ b/crates/edge/src/forward/content.rs
@@ -3,14 +3,16 @@
 use quarantine::ContentKey;
 use web::h1;
 
-/// Longest part of a body that the key covers. That much of a streamed body has always been received
-/// before forwarding begins, so all attempts get the same key; the remainder does not count.
+/// Longest part of a body that the key covers. That much of a streamed body has always been
+/// received before forwarding begins, so all attempts get the same key; the remainder does not
+/// count.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Returns the content key of a request: a digest of its method, host, target, credentials and body.
+/// Returns the content key of a request: a digest of its method, host, target, credentials and
+/// body.
 ///
-/// Request id and deadline differ between attempts, and the caller's address says little about who it
-/// is, so they are left out. `body` is the part of the body received before forwarding began.
+/// Request id and deadline differ between attempts, and the caller's address says little about who
+/// it is, so they are left out. `body` is the part of the body received before forwarding began.
 pub(crate) fn of(head: &h1::RequestHead, body: &[u8]) -> ContentKey {
     let line = [head.method.as_str(), head.host.as_str(), head.target.as_str()].map(str::as_bytes);
     let caller = web::credentials(&head.headers);
--- a/crates/edge/src/forward/content/tests.rs
+++ b/crates/edge/src/forward/content/tests.rs
@@ -7,7 +7,8 @@
     super::of(&head, body.as_bytes())
 }
 
-const FIRST: &str = "POST /claim/7?x=1 HTTP/1.1\r\nHost: seeds.example\r\nX-Id: 1\r\nX-Deadline: 500\r\nContent-Length: 4\r\n\r\n";
+const FIRST: &str = "POST /claim/7?x=1 HTTP/1.1\r\nHost: seeds.example\r\nX-Id: 1\r\n\
+    X-Deadline: 500\r\nContent-Length: 4\r\n\r\n";
 
 #[test]
 fn attempts_of_one_request_have_the_same_key() {
--- a/crates/edge/src/forward/crash_detection.rs
+++ b/crates/edge/src/forward/crash_detection.rs
@@ -1,21 +1,26 @@
 //! Detects upstreams that crashed, and the requests that were in flight there.
-use super::call::{Call, Choice};
-use super::Node;
-use crate::{as_ms, start_of};
-use local_sync::oneshot;
-use place::Incarnation;
-use quarantine::{FindingVersion, LostRequest};
+
 use std::io;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-/// Longest time that a request waits to learn whether the upstream that lost its response has crashed.
-/// An address without a listener refuses a connection within a round trip; an unreachable one does not
-/// respond at all.
+
+use local_sync::oneshot;
+use place::Incarnation;
+use quarantine::{FindingVersion, LostRequest};
+
+use super::call::{Call, Choice};
+use super::Node;
+use crate::{as_ms, start_of};
+
+/// Longest time that a request waits to learn whether the upstream that lost its response has
+/// crashed. An address without a listener refuses a connection within a round trip; an unreachable
+/// one does not respond at all.
 const MAX_CRASH_DETECTION_WAIT: Duration = Duration::from_millis(50);
+
 impl Node {
-    /// Records that the response to a request was lost with its connection, and finds out whether the
-    /// upstream has crashed. Only then is a new connection to its address refused; an upstream that
-    /// still runs has merely lost a response or reset a connection.
+    /// Records that the response to a request was lost with its connection, and finds out whether
+    /// the upstream has crashed. Only then is a new connection to its address refused; an upstream
+    /// that still runs has merely lost a response or reset a connection.
     pub(super) async fn detect_crash(
         self: &Rc<Node>,
         call: &Call<'_>,
@@ -43,6 +48,7 @@
         });
         let _ = monoio::time::timeout(MAX_CRASH_DETECTION_WAIT, checking).await;
     }
+
     async fn try_reconnect(&self, upstream: &Incarnation, addr: std::net::SocketAddr) {
         self.state.borrow_mut().counters.connects += 1;
         match self.conns.open(upstream, addr, super::CONNECT_TIMEOUT).await {
@@ -51,13 +57,15 @@
             Err(err) => self.record_connect_failure(upstream, &err),
         }
     }
-    /// Records that no connection to an upstream could be established. If its address refuses it, the
-    /// upstream has ended, and requests lost there shortly before were in flight when it did.
+
+    /// Records that no connection to an upstream could be established. If its address refuses it,
+    /// the upstream has ended, and requests lost there shortly before were in flight when it did.
     pub fn record_connect_failure(&self, upstream: &Incarnation, err: &io::Error) {
         if err.kind() == io::ErrorKind::ConnectionRefused {
             self.record_upstream_ended(upstream);
         }
     }
+
     /// Records that an upstream has ended: its address refuses connections or belongs to another
     /// upstream now, or it was restarted.
     pub(crate) fn record_upstream_ended(&self, upstream: &Incarnation) {
@@ -71,14 +79,16 @@
             self.handle_upstream_ended(upstream, &lost);
         }
     }
-    /// Handles an upstream that ended while `lost` were in flight there. Unless that was planned, they
-    /// may have crashed it.
+
+    /// Handles an upstream that ended while `lost` were in flight there. Unless that was planned,
+    /// they may have crashed it.
     fn handle_upstream_ended(&self, upstream: &Incarnation, lost: &[LostRequest]) {
         trace::Line::new("upstream_ended")
             .field("upstream", upstream.id())
             .field("under_way", lost)
             .log();
-        // An upstream that was removed from the list before or announced its end has ended as planned.
+        // An upstream that was removed from the list before or announced its end has ended as
+        // planned.
         let was_unplanned = {
             let state = self.state.borrow();
             let is_listed = |pool: &place::Pool| pool.position(upstream).is_some();
--- a/crates/edge/src/forward/notices.rs
+++ b/crates/edge/src/forward/notices.rs
@@ -13,7 +13,8 @@
 use crate::{as_ms, moment, readers, start_of};
 
 impl Node {
-    /// Applies the signals of a response of `upstream`; see [`notice::Backpressure::apply_signals`].
+    /// Applies the signals of a response of `upstream`; see
+    /// [`notice::Backpressure::apply_signals`].
     pub(crate) fn apply_signals(
         &self,
         upstream: &Incarnation,
@@ -55,8 +56,8 @@
 }
 
 impl State {
-    /// Recomputes this node's shares of the limits of upstreams if that is due. A node that has just
-    /// started knows few of its peers, and sends nothing to limited upstreams until it does.
+    /// Recomputes this node's shares of the limits of upstreams if that is due. A node that has
+    /// just started knows few of its peers, and sends nothing to limited upstreams until it does.
     pub(crate) fn update_limit_shares(&mut self, now: Instant) {
         if !self.backpressure.shares_outdated() || !readers::knows_peers(self, now) {
             return;
--- a/crates/edge/src/forward/quarantined.rs
+++ b/crates/edge/src/forward/quarantined.rs
@@ -1,29 +1,36 @@
 //! Applies the fleet's findings: keeps requests that crash upstreams away from them.
+
+use std::time::Duration;
+
+use local_sync::mpsc::unbounded::Tx;
+use place::{Candidate, Incarnation};
+use quarantine::{ContentKey, Decision, Finding, FindingVersion, LostRequest, Start};
+
 use super::call::{Call, NoChoice};
 use super::Node;
 use crate::state::SharedState;
 use crate::{gossip, record, start_of, unix_ms};
-use local_sync::mpsc::unbounded::Tx;
-use place::{Candidate, Incarnation};
-use quarantine::{ContentKey, Decision, Finding, FindingVersion, LostRequest, Start};
-use std::time::Duration;
-/// Counts a suspected request as in flight at an upstream until it is dropped.
+
+/// Guard that counts a suspected request as in flight at an upstream until it is dropped.
 pub(super) struct AttemptGuard {
     state: SharedState,
     content: ContentKey,
     start: Start,
 }
+
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         self.state.borrow_mut().quarantine.end_attempt(self.content, self.start);
     }
 }
+
 impl Node {
-    /// Sets the channel that wakes the membership task when there are updates to broadcast. Only the
-    /// first call has an effect.
+    /// Sets the channel that wakes the membership task when there are updates to broadcast. Only
+    /// the first call has an effect.
     pub(crate) fn set_gossip_sender(&self, gossip: Tx<gossip::Input>) {
         let _ = self.gossip.set(gossip);
     }
+
     /// Decides whether a request is sent, isolated from other suspected ones, or rejected.
     pub(super) fn quarantine_decision(&self, call: &Call<'_>) -> Decision {
         let state = self.state.borrow();
@@ -35,6 +42,7 @@
             }
         }
     }
+
     /// As [`Node::quarantine_decision`], with an error for a request that is rejected.
     pub(super) fn check_quarantine(&self, call: &Call<'_>) -> Result<Decision, NoChoice> {
         match self.quarantine_decision(call) {
@@ -42,13 +50,15 @@
             decision => Ok(decision),
         }
     }
+
     /// Returns true for a request that has crashed several upstreams one after the other.
     pub(super) fn has_repeated_crashes(&self, call: &Call<'_>) -> bool {
         let state = self.state.borrow();
         !state.quarantine.is_empty() && state.quarantine.has_repeated_crashes(call.content())
     }
-    /// Returns the version of the finding on a request that is about to be sent, and a guard that counts
-    /// it as in flight if it is suspected.
+
+    /// Returns the version of the finding on a request that is about to be sent, and a guard that
+    /// counts it as in flight if it is suspected.
     pub(super) fn begin_attempt(
         &self,
         call: &Call<'_>,
@@ -67,6 +77,7 @@
         });
         (version, guard)
     }
+
     /// Returns the candidate for a suspected request, isolated from other suspected requests.
     pub(super) fn choose_isolated<'a>(
         &self,
@@ -82,6 +93,7 @@
         let chosen = state.quarantine.choose_isolated(call.content(), &starts, timely)?;
         ranked.iter().find(|candidate| candidate.index == chosen)
     }
+
     /// Records that an upstream crashed while it ran a request.
     pub(super) fn record_crash(&self, lost: &LostRequest, start: Start) {
         let now = unix_ms();
@@ -92,6 +104,7 @@
         }
         self.wake_gossip();
     }
+
     /// Records that an upstream has completed a request.
     pub(super) fn record_completed(&self, call: &Call<'_>) {
         if self.state.borrow().quarantine.is_empty() {
@@ -105,6 +118,7 @@
             self.wake_gossip();
         }
     }
+
     /// Merges a finding of another node; `source` says in the log where it came from.
     pub(crate) fn merge_finding(&self, finding: &Finding, source: &'static str) {
         let content = finding.content;
@@ -118,6 +132,7 @@
             _ => {}
         }
     }
+
     /// Wakes the membership task to broadcast updates.
     pub(crate) fn wake_gossip(&self) {
         if let Some(gossip) = self.gossip.get() {
@@ -126,6 +141,7 @@
         }
     }
 }
+
 fn log_quarantined(finding: &Finding, by: &'static str) {
     trace::Line::new("held_back")
         .field("content", finding.content)
@@ -135,6 +151,7 @@
         .field("found_by", by)
         .log();
 }
+
 fn log_cleared(content: ContentKey, by: &'static str) {
     trace::Line::new("cleared").field("content", content).field("by", by).log();
 }
--- a/crates/edge/src/forward/retries.rs
+++ b/crates/edge/src/forward/retries.rs
@@ -1,38 +1,49 @@
 //! The sends of one request: retries one after the other, and hedges beside an overdue send.
+
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use http::{HeaderValue, StatusCode};
+use quarantine::Decision;
+use web::h1;
+
 use super::call::{Call, Choice, NoChoice, Tried};
 use super::choose::WaitPolicy;
 use super::{Body, Node, Reply};
 use crate::as_ms;
 use crate::exchange::{Outcome, Response, SendResult};
 use crate::reply::LocalReply;
-use bytes::Bytes;
-use http::{HeaderValue, StatusCode};
-use quarantine::Decision;
-use std::pin::pin;
-use std::rc::Rc;
-use std::time::{Duration, Instant};
-use web::h1;
-/// A request is hedged once it has taken this many times its predicted latency: with a smaller ratio
-/// the ordinary variance of the work would use up the budget.
+
+/// A request is hedged once it has taken this many times its predicted latency: with a smaller
+/// ratio the ordinary variance of the work would use up the budget.
 const MIN_HEDGE_LATENCY_RATIO: f64 = 1.4;
+
 /// A request whose latency objective no hedge can meet is hedged only after this many times its
-/// predicted latency, or when a hedge can only just end before the deadline: its upstream has likely
-/// gone silent.
+/// predicted latency, or when a hedge can only just end before the deadline: its upstream has
+/// likely gone silent.
 const MIN_LATE_HEDGE_LATENCY_RATIO: f64 = 4.0;
+
 /// Upstreams tried for one request at most, unreachable ones included.
 const MAX_UPSTREAMS_TRIED: usize = 4;
+
 /// `Retry-After` when upstreams refused a request and the node may not send it again. Their refusal
-/// says nothing about other upstreams, and each further attempt earns the fleet retry budget.
+/// says nothing about other upstreams, and each further attempt of the caller adds to the retry
+/// budget of the fleet.
 const RETRY_AFTER_UPSTREAM_REFUSAL: Duration = Duration::from_millis(10);
+
 /// What the caller is told if no further send is allowed: nothing final came from the sends so far.
 enum Fallback {
     /// No upstream can have run it.
     NotRun,
     /// An upstream may have run it.
     MayHaveRun,
-    /// An upstream responded with a server error, which is passed on unless a better response comes.
+    /// An upstream responded with a server error, which is passed on unless a better response
+    /// comes.
     Error(Response),
 }
+
 impl Fallback {
     /// Returns the state after a send that may have run and got no response.
     fn after_lost_send(self) -> Fallback {
@@ -42,10 +53,12 @@
         }
     }
 }
+
 /// Returns true for a response that is passed on even if the request could be sent again.
 fn is_final(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Answered(response) if !response.head.status.is_server_error())
 }
+
 /// Combines the outcomes of two sends of a request, of which the earlier has no final response.
 ///
 /// The refusal of one send says nothing about the other, which may have run.
@@ -57,6 +70,7 @@
         false => later,
     }
 }
+
 impl Node {
     /// Sends the request to upstreams until one responds or no further send is allowed.
     pub(super) async fn send_with_retries(
@@ -65,8 +79,8 @@
         body: Body<'_>,
     ) -> Reply {
         let buffered = match body {
-            Body::Whole(buffered) => buffered,
-            Body::Long { first, reader, decoder } => {
+            Body::Full(buffered) => buffered,
+            Body::Partial { first, reader, decoder } => {
                 return self.send_streaming(call, first, reader, decoder).await
             }
         };
@@ -91,7 +105,7 @@
                 Outcome::Answered(response) if !response.head.status.is_server_error() => {
                     return Reply::Upstream(response)
                 }
-                Outcome::Answered(response) if !call.repeatable() || !attempts_left => {
+                Outcome::Answered(response) if !call.is_idempotent() || !attempts_left => {
                     return Reply::Upstream(response)
                 }
                 Outcome::Answered(response) => fallback = Fallback::Error(response),
@@ -99,15 +113,17 @@
                 Outcome::NotRun(..) => return give_up(fallback, RETRY_AFTER_UPSTREAM_REFUSAL),
                 Outcome::Lost(_) => {
                     fallback = fallback.after_lost_send();
-                    // A request that has crashed two upstreams would likely crash a third. Its caller
-                    // is told that it may have run, and can retry.
-                    if !call.repeatable() || !attempts_left || self.has_repeated_crashes(call) {
+                    // A request that has crashed two upstreams would likely crash a third. Its
+                    // caller is told that it may have run, and can retry.
+                    if !call.is_idempotent() || !attempts_left || self.has_repeated_crashes(call) {
                         return give_up(fallback, RETRY_AFTER_UPSTREAM_REFUSAL);
                     }
                 }
             }
         }
     }
+
+    /// Logs why no upstream was chosen for a request, and returns the response to its caller.
     fn refuse(&self, call: &Call<'_>, why: NoChoice, fallback: Fallback) -> Reply {
         let line = call.log_line("refused");
         let (line, retry_after) = match why {
@@ -140,7 +156,9 @@
         line.field("come_back_ms", as_ms(retry_after)).log();
         give_up(fallback, retry_after)
     }
-    /// Sends the request once, and hedges when the response is overdue and the request may be repeated.
+
+    /// Sends the request once, and hedges when the response is overdue and the request is
+    /// idempotent.
     async fn send_hedged(
         self: &Rc<Node>,
         call: &Call<'_>,
@@ -160,12 +178,12 @@
         ] {
             let timer = due.saturating_duration_since(Instant::now());
             monoio::select! {
-            outcome = &mut first => return tried.record_outcome(outcome),
-            () = monoio::time::sleep(timer) => {}
+                outcome = &mut first => return tried.record_outcome(outcome),
+                () = monoio::time::sleep(timer) => {}
             }
             self.record_overdue(call, &choice, factor);
             // A concurrent copy of a suspected request could crash a second upstream.
-            let may_hedge = call.repeatable()
+            let may_hedge = call.is_idempotent()
                 && tried.reached < call.route.attempts
                 && self.quarantine_decision(call) == Decision::Allow;
             let is_futile = factor < MIN_LATE_HEDGE_LATENCY_RATIO
@@ -175,8 +193,8 @@
             }
             // A response that comes while another upstream is being chosen is returned at once.
             let other = monoio::select! {
-            outcome = &mut first => return tried.record_outcome(outcome),
-            other = self.choose(call, &tried.upstreams, WaitPolicy::Forbidden) => other,
+                outcome = &mut first => return tried.record_outcome(outcome),
+                other = self.choose(call, &tried.upstreams, WaitPolicy::Forbidden) => other,
             };
             let Ok(other) = other else { continue };
             if !self.state.borrow_mut().try_hedge(&call.service) {
@@ -190,18 +208,19 @@
             tried.reached += 1;
             let mut second = pin!(self.send(call, &other, body));
             return monoio::select! {
-            outcome = &mut first => match is_final(&outcome) {
-            true => outcome,
-            false => combine(outcome, second.await),
-            },
-            outcome = &mut second => match is_final(&outcome) {
-            true => outcome,
-            false => combine(outcome, first.await),
-            },
+                outcome = &mut first => match is_final(&outcome) {
+                    true => outcome,
+                    false => combine(outcome, second.await),
+                },
+                outcome = &mut second => match is_final(&outcome) {
+                    true => outcome,
+                    false => combine(outcome, first.await),
+                },
             };
         }
         tried.record_outcome(first.await)
     }
+
     /// Records that an upstream has not responded for `factor` times the predicted latency.
     fn record_overdue(&self, call: &Call<'_>, choice: &Choice, factor: f64) {
         if !choice.latency_measures_work {
@@ -211,6 +230,7 @@
             pool.record_latency_ratio(&choice.upstream, factor, Instant::now());
         }
     }
+
     /// Sends a request whose body was received in full to the chosen upstream.
     async fn send(self: &Rc<Node>, call: &Call<'_>, choice: &Choice, body: &Bytes) -> Outcome {
         let length = call.head.framing != h1::Framing::Empty;
@@ -219,6 +239,7 @@
         let framing = length.map(|length| (http::header::CONTENT_LENGTH, length));
         self.send_with(call, choice, framing, body, write_rest).await
     }
+
     /// Sends a request whose body is still being received. It is never sent a second time.
     async fn send_streaming(
         self: &Rc<Node>,
@@ -262,19 +283,20 @@
             Outcome::NotRun(..) | Outcome::NotSent => {
                 give_up(Fallback::NotRun, RETRY_AFTER_UPSTREAM_REFUSAL)
             }
-            Outcome::Lost(why) => Reply::Own(LocalReply::failed(StatusCode::BAD_GATEWAY, why)),
+            Outcome::Lost(why) => Reply::Local(LocalReply::failed(StatusCode::BAD_GATEWAY, why)),
         }
     }
 }
+
 /// Returns the response to a request that gets no further send.
 fn give_up(fallback: Fallback, retry_after: Duration) -> Reply {
     match fallback {
         Fallback::NotRun => {
-            Reply::Own(LocalReply::not_run(retry_after, "not run; come back later"))
+            Reply::Local(LocalReply::not_run(retry_after, "not run; come back later"))
         }
         Fallback::MayHaveRun => {
             let text = "no answer; the request may have run";
-            Reply::Own(LocalReply::failed(StatusCode::BAD_GATEWAY, text))
+            Reply::Local(LocalReply::failed(StatusCode::BAD_GATEWAY, text))
         }
         Fallback::Error(response) => Reply::Upstream(response),
     }
--- a/crates/edge/src/forward/send.rs
+++ b/crates/edge/src/forward/send.rs
@@ -23,6 +23,8 @@
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Node {
+    /// Sends a request to the chosen upstream and records the outcome. `write_rest` sends what
+    /// follows `body`; `framing` is the header that states the length or the coding of both.
     pub(super) async fn send_with<F>(
         self: &Rc<Node>,
         call: &Call<'_>,
@@ -50,7 +52,7 @@
         let timeout = CONNECT_TIMEOUT.min(call.deadline_left());
         let (upstream, addr) = (&choice.upstream, choice.addr);
         let connecting = async {
-            match call.repeatable() {
+            match call.is_idempotent() {
                 true => self.connection(upstream, addr, timeout).await,
                 false => self.verified_connection(&call.service, upstream, addr, timeout).await,
             }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -101,7 +101,7 @@
     pub retry_slack: f64,
     /// Maximum rate of probes to one upstream from the whole fleet, per second.
     pub max_probes_per_upstream_per_s: f64,
-    /// Cost of sending one KiB to another zone and back, as a fraction of a request's worth.
+    /// Cost of sending one KiB to another zone and back, as a share of the value of a request.
     pub cross_zone_cost_per_kib: f64,
 }
 
--- a/crates/edge/src/probe.rs
+++ b/crates/edge/src/probe.rs
@@ -16,7 +16,7 @@
 /// Longest time that a request waits for load reports, as a ratio of its latency objective.
 const MAX_REPORT_WAIT_RATIO: f64 = 0.08;
 
-/// Upper bound of that time.
+/// Longest time that a request waits for load reports, however long its objective is.
 const MAX_REPORT_WAIT: Duration = Duration::from_millis(25);
 
 /// Timeout of a probe, after which its connection and the idle ones to the upstream are closed. An
@@ -44,9 +44,9 @@
     /// Takes up to `wanted` probes and returns how many were granted. The budget refills at
     /// `refill_per_s` and holds at most `capacity` probes; it starts full.
     pub fn take(&mut self, wanted: usize, refill_per_s: f64, capacity: f64, now: Instant) -> usize {
-        let passed = self.refilled_at.map_or(f64::MAX, |at| (now - at).as_secs_f64());
+        let elapsed = self.refilled_at.map_or(f64::MAX, |at| (now - at).as_secs_f64());
         self.refilled_at = Some(now);
-        self.tokens = (self.tokens + passed * refill_per_s).min(capacity);
+        self.tokens = (self.tokens + elapsed * refill_per_s).min(capacity);
         let taken = wanted.min(self.tokens as usize);
         self.tokens -= taken as f64;
         taken
@@ -124,11 +124,11 @@
     }
 }
 
-/// Verifies by a probe that the upstream still holds an idle connection open. Returns the connection,
-/// or `None` when it is unusable.
+/// Verifies by a probe that the upstream still holds an idle connection open. Returns the
+/// connection, or `None` when it is unusable.
 ///
-/// An upstream that has dropped its state of an idle connection resets it at the next request, and a
-/// reset does not tell whether that request was run. A lost probe does no harm.
+/// An upstream that has dropped its state of an idle connection resets it at the next request, and
+/// a reset does not tell whether that request was run. A lost probe does no harm.
 pub async fn verify(
     node: &Node,
     service: &ServiceName,
@@ -141,8 +141,8 @@
     probing.await.ok().flatten()
 }
 
-/// Sends a probe over `conn` and records what the response reports; returns the connection if it can
-/// be reused.
+/// Sends a probe over `conn` and records what the response reports; returns the connection if it
+/// can be reused.
 async fn send_probe(
     node: &Node,
     service: &ServiceName,
--- a/crates/edge/src/serve/pipeline.rs
+++ b/crates/edge/src/serve/pipeline.rs
@@ -23,7 +23,7 @@
 /// complete response of 64 KiB that waits for the ones before it: half a megabyte per connection.
 const MAX_UNANSWERED_REQUESTS: usize = 8;
 
-/// Total size of the bodies of such requests from which no further request is read.
+/// Total size of the bodies of unanswered requests at which reading of further requests pauses.
 const MAX_PENDING_BODY_BYTES: usize = 128 * 1024;
 
 /// Counts the unanswered requests of a connection; shared by its reading and its writing half.
@@ -132,7 +132,7 @@
     }
 }
 
-/// Counts a request as in flight while it exists.
+/// Guard that counts a request as in flight until it is dropped.
 pub(super) struct InFlight(Rc<Node>);
 
 impl InFlight {
@@ -172,7 +172,7 @@
         let Request { head, body, received_at, idempotent, in_flight } = request;
         let caller = Caller::waiting_since(received_at);
         let left = caller.has_left.clone();
-        let mut forwarding = pin!(node.forward(&head, Body::Whole(body), caller));
+        let mut forwarding = pin!(node.forward(&head, Body::Full(body), caller));
         let reply = monoio::select! {
             reply = &mut forwarding => Some(reply),
             () = sender.closed() => {
@@ -185,7 +185,7 @@
         };
         let delivered = reply.is_some_and(|reply| sender.send(reply).is_ok());
         if !delivered {
-            node.caller_left(&head);
+            node.record_caller_left(&head);
         }
         drop(in_flight);
     });
--- a/crates/edge/src/serve/requests.rs
+++ b/crates/edge/src/serve/requests.rs
@@ -99,9 +99,10 @@
                 pipeline::forward(self.node, request)
             }
             false => {
-                let long = Body::Long { first: body, reader: self.reader, decoder: &mut decoder };
+                let partial =
+                    Body::Partial { first: body, reader: self.reader, decoder: &mut decoder };
                 let reply =
-                    self.node.forward(&head, long, Caller::waiting_since(received_at)).await;
+                    self.node.forward(&head, partial, Caller::waiting_since(received_at)).await;
                 // The unread rest of a body would be parsed as the next request.
                 last |= !decoder.is_done();
                 PendingReply::Ready(Box::new(reply))
@@ -130,7 +131,7 @@
     ) -> Result<bool, Disconnected> {
         self.pipeline.request_started(0);
         let _ = self.writes.send(QueuedWrite::Response(QueuedResponse {
-            reply: PendingReply::Ready(Box::new(Reply::Own(local_reply))),
+            reply: PendingReply::Ready(Box::new(Reply::Local(local_reply))),
             head_only,
             last: true,
             body_bytes: 0,
--- a/crates/edge/src/serve/responses.rs
+++ b/crates/edge/src/serve/responses.rs
@@ -1,19 +1,24 @@
 //! Writes responses to callers, in the order of their requests.
-use super::pipeline::{Pipeline, QueuedResponse, QueuedWrite};
-use super::ConnectionEnd;
-use crate::exchange::{Response, ResponseBody};
-use crate::forward::{Node, Reply};
-use crate::reply::LocalReply;
+
+use std::rc::Rc;
+use std::time::Duration;
+
 use bytes::Bytes;
 use http::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use http::{HeaderMap, StatusCode};
 use local_sync::mpsc::unbounded;
-use std::rc::Rc;
-use std::time::Duration;
 use web::h1;
+
+use super::pipeline::{Pipeline, QueuedResponse, QueuedWrite};
+use super::ConnectionEnd;
+use crate::exchange::{Response, ResponseBody};
+use crate::forward::{Node, Reply};
+use crate::reply::LocalReply;
+
 /// Timeout for each piece of a long response: to receive it from the upstream, and to write it to
 /// the caller.
 const STREAMING_TIMEOUT: Duration = Duration::from_secs(10);
+
 /// Writes the responses of a connection until one of them closes it or the caller disconnects.
 ///
 /// A response that is ready before its predecessors waits for them: a complete one in memory, a
@@ -45,7 +50,7 @@
             Reply::Upstream(response) => {
                 write_upstream_response(writer, response, head_only, close).await
             }
-            Reply::Own(local_reply) => {
+            Reply::Local(local_reply) => {
                 write_local_reply(writer, &local_reply, head_only, close).await
             }
         };
@@ -60,6 +65,7 @@
     // No more requests are read, and all are answered.
     ConnectionEnd::Disconnected
 }
+
 /// Writes a response made by the node itself; returns false if the caller has disconnected.
 async fn write_local_reply(
     writer: &mut h1::Writer,
@@ -76,13 +82,15 @@
     }
     writer.write(bytes).await.is_ok()
 }
+
 fn set_close(headers: &mut HeaderMap, close: bool) {
     if close {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
 }
+
 /// Writes an upstream's response; returns false if the caller has disconnected or the response is
-/// cut off.
+/// truncated.
 async fn write_upstream_response(
     writer: &mut h1::Writer,
     response: Response,
@@ -122,8 +130,9 @@
         }
     }
 }
-/// Streams a long response to the caller. If it is cut off, the caller does not receive its end
-/// either; returns false then, and if the caller has disconnected.
+
+/// Streams a long response to the caller; returns false if the caller has disconnected or the
+/// response is truncated. A truncated one is passed on without an end, so that the caller can tell.
 async fn stream_response(
     writer: &mut h1::Writer,
     mut bytes: Vec<u8>,
--- a/crates/edge/src/state.rs
+++ b/crates/edge/src/state.rs
@@ -65,7 +65,7 @@
     /// no configuration.
     ///
     /// A few seconds after the start of a fleet of hundreds, a node knows all peers but has
-    /// received messages from few of them. If only those counted, each node would choose other
+    /// received messages from few of them. If only those counted, each node would choose different
     /// readers: 126 of 312 nodes read the platform themselves 3.5 s after their start.
     pub fn may_serve(&self) -> bool {
         self.standing == wire::Standing::Alive && (self.config_head > 0 || !self.heads_received)
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -80,11 +80,11 @@
 /// The status of an upstream.
 #[derive(Debug, Serialize)]
 pub struct UpstreamStatus {
-    /// Id.
+    /// Id in the platform's list.
     pub id: SmolStr,
     /// Unix time of its start in milliseconds; 0 when the platform does not give it.
     pub born_ms: u64,
-    /// Address.
+    /// Address that requests are sent to.
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: SmolStr,
