--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -5,11 +5,11 @@
 //! refutes this with a higher incarnation. Membership updates, [`wire::HealthReport`]s,
 //! [`Finding`]s and [`Notice`]s are piggybacked on these packets, each a limited number of times
 //! ([`queue`]), so that the cost per node does not grow with the fleet. Findings are also sent
-//! immediately to a few peers, and to a peer whose digest differs: a node that was cut off has
+//! immediately to a few peers, and to a peer whose digest differs: a node that was partitioned has
 //! missed them.
 //!
 //! It owns no socket and no clock: the calling task feeds it datagrams and the time, and sends the
-//! packets that it returns. No exclusive right depends on this view: a wrong view (of a paused or
+//! packets that it returns. No mutual exclusion depends on this view: a wrong view (of a paused or
 //! partitioned node) costs latency but breaks no guarantee. The probe budget is therefore based on
 //! the platform's list (crate `watch`).
 
@@ -156,6 +156,7 @@
     findings_sent_at: Option<Instant>,
 }
 
+/// The node's own last ping, while its acknowledgement has not arrived.
 #[derive(Clone, Copy, Debug)]
 struct PendingPing {
     target: SocketAddr,
@@ -164,6 +165,8 @@
     helpers_asked: bool,
 }
 
+/// A ping sent on behalf of the peer `requester`, which gets the acknowledgement under its own
+/// sequence number `requester_seq`.
 #[derive(Clone, Copy, Debug)]
 struct RelayedPing {
     local_seq: PingSeq,
@@ -369,8 +372,8 @@
 
     /// Returns packets that tell every reachable peer that this node leaves.
     ///
-    /// Afterwards the node starts no pings and answers none. Without this announcement, peers would
-    /// keep listing the node to callers until they declare it dead, seconds after it stopped.
+    /// Afterwards the node starts no pings and acknowledges none. Without this announcement, peers
+    /// would keep listing the node to callers until they declare it dead, seconds after it stopped.
     pub fn leave(&mut self) -> Vec<Outgoing> {
         self.leaving = true;
         let update = MemberUpdate {
@@ -391,7 +394,7 @@
 
     /// Records that the sender of a packet is alive, and its heads.
     ///
-    /// Returns whether the sender was unknown or has a higher incarnation than before.
+    /// Returns true when the sender was unknown or has a higher incarnation than before.
     fn record_sender(&mut self, sender: &Sender, now: Instant) -> bool {
         let known = self.peers.get(&sender.addr).map(|p| (p.incarnation, p.standing));
         match known {
@@ -560,7 +563,7 @@
     }
 
     fn send_indirect_pings(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
-        let unanswered = match &mut self.pending_ping {
+        let unacknowledged = match &mut self.pending_ping {
             Some(ping)
                 if !ping.helpers_asked
                     && now.duration_since(ping.sent_at) >= self.timing.ack_timeout =>
@@ -573,11 +576,13 @@
         let helpers = self
             .peers
             .iter()
-            .filter(|(addr, p)| p.standing == Standing::Alive && **addr != unanswered.target)
+            .filter(|(addr, p)| p.standing == Standing::Alive && **addr != unacknowledged.target)
             .map(|(addr, _)| *addr)
             .choose_multiple(&mut self.rng, INDIRECT_PING_HELPERS);
         for helper in helpers {
-            out.push(self.build_packet(helper, Body::PingReq(unanswered.seq, unanswered.target)));
+            out.push(
+                self.build_packet(helper, Body::PingReq(unacknowledged.seq, unacknowledged.target)),
+            );
         }
     }
 
--- a/crates/member/src/queue.rs
+++ b/crates/member/src/queue.rs
@@ -71,8 +71,8 @@
     /// `peers` is the number of known peers.
     pub(crate) fn fill(&mut self, packet: &mut Packet, peers: usize) {
         let max_transmissions = EXTRA_TRANSMISSIONS + usize::BITS - peers.leading_zeros();
-        // Reserved: one byte for the protocol version, and the growth of the list lengths, each by
-        // at most two bytes.
+        // Reserved: one byte for the protocol version, and one byte by which the encoded length of
+        // each of the four lists may grow.
         let mut bytes_left = MAX_PACKET_BYTES.saturating_sub(wire::encoded_bytes(packet) + 5);
         // Reserved: a ping of a suspect adds one update afterwards.
         bytes_left = bytes_left.saturating_sub(128);
--- a/crates/member/src/tests.rs
+++ b/crates/member/src/tests.rs
@@ -173,8 +173,8 @@
                     quarantine.merge_remote(finding, unix_ms);
                 }
                 Event::DigestMismatch { addr, held_digest } => {
-                    let known = quarantine.findings_for_peer(*held_digest);
-                    out.extend(members.send_findings(*addr, known, self.now));
+                    let findings = quarantine.findings_for_peer(*held_digest);
+                    out.extend(members.send_findings(*addr, findings, self.now));
                 }
                 _ => {}
             }
@@ -469,7 +469,12 @@
                     let verdict = if failing { Verdict::Failing } else { Verdict::Healthy };
                     report_unix_ms += 1;
                     let now = network.now;
-                    network.nodes[0].members.report_health(upstream(port), verdict, report_unix_ms, now);
+                    network.nodes[0].members.report_health(
+                        upstream(port),
+                        verdict,
+                        report_unix_ms,
+                        now,
+                    );
                 }
                 Fault::HealthReport(..) => {}
             }
--- a/crates/member/src/tests/findings.rs
+++ b/crates/member/src/tests/findings.rs
@@ -24,9 +24,9 @@
         for node in 0..3 {
             let unix_ms = (self.now - self.start).as_millis() as u64;
             let quarantine = &mut self.nodes[node].quarantine;
-            let known = quarantine.version(content(request));
+            let version = quarantine.version(content(request));
             let start = Start::of("u", 10 * request + node as u64);
-            quarantine.record_crash(content(request), known, start, unix_ms);
+            quarantine.record_crash(content(request), version, start, unix_ms);
             self.run(Duration::from_secs(1));
         }
     }
@@ -56,10 +56,12 @@
     assert_eq!(network.nodes_quarantining(1), nodes);
 }
 
-/// Guards against a node that forwards a request that all others quarantine: it was cut off, paused
-/// or stopped while the findings spread, and returns long after their last transmission.
+/// Guards against a node that forwards a request that all others quarantine: it was partitioned,
+/// paused or stopped while the findings spread, and returns long after their last transmission.
 #[yare::parameterized(
-    cut_off = { |network: &mut Network| network.cut_links = (0..15).map(|other| (other, 15)).collect() },
+    partitioned = {
+        |network: &mut Network| network.cut_links = (0..15).map(|other| (other, 15)).collect()
+    },
     paused = { |network: &mut Network| network.nodes[15].paused = true },
     stopped = { |network: &mut Network| network.nodes[15].running = false },
 )]
@@ -106,7 +108,7 @@
 }
 
 /// Guards against a request that an operator or a response clears on some nodes only: it is cleared
-/// on one node while another is cut off, and clearances are sent only once.
+/// on one node while another is partitioned, and clearances are sent only once.
 #[test]
 fn a_clearance_reaches_all_nodes() {
     let mut network = Network::new(16, 3);
@@ -118,7 +120,7 @@
     let unix_ms = (network.now - network.start).as_millis() as u64;
     assert!(network.nodes[4].quarantine.clear(content(1), unix_ms));
     network.run(Duration::from_secs(20));
-    assert_eq!(network.nodes_quarantining(1), 1, "the node that is cut off");
+    assert_eq!(network.nodes_quarantining(1), 1, "the partitioned node");
     network.cut_links.clear();
     network.run(2 * MAX_PROPAGATION_TIME);
     assert_eq!(network.nodes_quarantining(0), 16);
@@ -144,8 +146,8 @@
             let (request, start) =
                 (1_000 + 4 * node + request_index, (7 * node + request_index) % 160);
             let quarantine = &mut network.nodes[node as usize].quarantine;
-            let known = quarantine.version(content(request));
-            quarantine.record_crash(content(request), known, Start::of("u", start), unix_ms);
+            let version = quarantine.version(content(request));
+            quarantine.record_crash(content(request), version, Start::of("u", start), unix_ms);
         }
     }
     network.run(Duration::from_secs(10));
--- a/crates/member/src/tests/notices.rs
+++ b/crates/member/src/tests/notices.rs
@@ -63,10 +63,10 @@
     );
 }
 
-/// Guards against limits whose dissemination costs more than they save, because all owners receive
-/// them all the time.
+/// Guards against limits whose dissemination costs more than they save: every owner (a node that
+/// sends to the limited upstream) receives the limit again with each response.
 #[test]
-fn a_standing_limit_costs_little_traffic_and_does_not_expire() {
+fn a_limit_in_force_costs_little_traffic_and_does_not_expire() {
     const NODES: usize = 105;
     let mut network = Network::in_zones(NODES, 5, 7);
     network.run(Duration::from_secs(30));
--- a/crates/wire/src/tests.rs
+++ b/crates/wire/src/tests.rs
@@ -51,8 +51,8 @@
     let mut quarantine = quarantine::Quarantine::default();
     let content = quarantine::ContentKey::of([b"GET /a".as_slice()]);
     for n in 1..=3 {
-        let known = quarantine.version(content);
-        quarantine.record_crash(content, known, quarantine::Start::of("u", n), 1_000);
+        let version = quarantine.version(content);
+        quarantine.record_crash(content, version, quarantine::Start::of("u", n), 1_000);
     }
     quarantine.take_new_findings(1_000).pop().expect("three crashes produce a finding").finding
 }
@@ -91,8 +91,11 @@
     unknown_verdict[verdict_index] = 9;
     assert!(matches!(Packet::decode(&unknown_verdict), Err(DecodeError::Malformed(_))));
     let without_crashes = quarantine::Finding { crashed: Vec::new(), ..finding() };
-    let unsound = Packet { findings: vec![finding(), without_crashes], ..packet() };
-    assert!(matches!(Packet::decode(&unsound.encode()), Err(DecodeError::Malformed(_))));
+    let with_invalid_finding = Packet { findings: vec![finding(), without_crashes], ..packet() };
+    assert!(matches!(
+        Packet::decode(&with_invalid_finding.encode()),
+        Err(DecodeError::Malformed(_))
+    ));
 }
 
 proptest! {
@@ -114,7 +117,10 @@
 
     /// The same, for valid packets with one byte changed.
     #[test]
-    fn a_changed_byte_is_rejected_or_decodes(position in any::<prop::sample::Index>(), value in any::<u8>()) {
+    fn a_changed_byte_is_rejected_or_decodes(
+        position in any::<prop::sample::Index>(),
+        value in any::<u8>(),
+    ) {
         let mut bytes = packet().encode();
         let position = position.index(bytes.len());
         bytes[position] = value;
--- a/crates/wire/src/update.rs
+++ b/crates/wire/src/update.rs
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Verdict {
-    /// Answers probes successfully.
+    /// Responds to probes successfully.
     Healthy = 0,
-    /// Does not answer probes, or answers them with errors.
+    /// Does not respond to probes, or responds with errors.
     Failing = 1,
     /// States that it is leaving.
     Draining = 2,
