--- a/crates/config/src/template/tests.rs
+++ b/crates/config/src/template/tests.rs
@@ -41,10 +41,16 @@
 }
 
 #[parameterized(
-    string_for_number = { "service: a\ndefaults:\n  timeout_ms: \"800ms\"\n", "defaults.timeout_ms" },
+    string_for_number = {
+        "service: a\ndefaults:\n  timeout_ms: \"800ms\"\n",
+        "defaults.timeout_ms",
+    },
     out_of_range = { "service: a\ndefaults:\n  timeout_ms: 0\n", "defaults.timeout_ms" },
     missing_service = { "defaults:\n  timeout_ms: 5\n", "service" },
-    not_idempotent = { "service: a\ndefaults:\n  idempotent_methods: [GET, POST]\n", "defaults.idempotent_methods[1]" },
+    not_idempotent = {
+        "service: a\ndefaults:\n  idempotent_methods: [GET, POST]\n",
+        "defaults.idempotent_methods[1]",
+    },
     unknown_root_key = { "service: a\nupstream: x\n", "upstream" },
     invalid_balance = { "service: a\ndefaults:\n  balance: random\n", "defaults.balance" },
     invalid_probe_path = { "service: a\ndefaults:\n  probe_path: load\n", "defaults.probe_path" },
@@ -66,7 +72,7 @@
 #[test]
 fn teams_are_validated_even_if_the_defaults_are_invalid() {
     let text = "service: 5\ndefaults: {timeout_ms: x}\nteams: {north: {hedge: 3}, south: [1]}\n";
-    let findings = Template::parse(text).expect_err("refused").to_string();
+    let findings = Template::parse(text).expect_err("rejected").to_string();
     for path in ["service", "defaults.timeout_ms", "teams.north.hedge", "teams.south"] {
         assert!(findings.contains(path), "{path} missing in {findings}");
     }
--- a/crates/config/src/yaml.rs
+++ b/crates/config/src/yaml.rs
@@ -114,7 +114,10 @@
             Some(Value::String(text)) => {
                 findings.error(
                     &path,
-                    format!("expected a bare number in the unit of the key's suffix, found string {text:?}"),
+                    format!(
+                        "expected a bare number in the unit of the key's suffix, \
+                         found string {text:?}"
+                    ),
                 );
                 None
             }
@@ -193,9 +196,9 @@
 }
 
 /// Returns a hint at the known key that differs only in its unit suffix; empty if there is none.
-fn unit_hint(name: &str, known: &[&str]) -> String {
+fn unit_hint(name: &str, known_keys: &[&str]) -> String {
     let base = UNIT_SUFFIXES.iter().find_map(|suffix| name.strip_suffix(suffix)).unwrap_or(name);
-    known
+    known_keys
         .iter()
         .find(|candidate| {
             UNIT_SUFFIXES.iter().any(|suffix| candidate.strip_suffix(suffix) == Some(base))
@@ -222,11 +225,11 @@
     match serde_yaml_ng::from_str::<Value>(text) {
         Ok(value) => Some(value),
         Err(err) => {
-            let place = err
+            let path = err
                 .location()
                 .map(|at| format!("line {} column {}", at.line(), at.column()))
                 .unwrap_or_else(|| "$".to_owned());
-            findings.error(&place, format!("not valid YAML: {err}"));
+            findings.error(&path, format!("not valid YAML: {err}"));
             None
         }
     }
