--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,26 +1,27 @@
 //! Audit records of accepted configuration changes.
 //!
-//! A [`Record`] is committed in the same transaction as the template that it
-//! describes, so the audit trail has a record of every change that happened
-//! and of no other.
+//! A [`Record`] is committed in the same transaction as the change that it describes, so the audit
+//! trail has a record of every change that happened and of no other.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// An accepted change of one template.
+/// An accepted change of one template, drain or evacuation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The writer's change id, also stored in the template row.
+    /// The writer's change id, also stored in the changed row.
     pub change_id: SmolStr,
-    /// Service whose template changed.
+    /// Service whose template changed; `drains` for a drain and `zones` for an evacuation, which
+    /// belong to no service.
     pub service: SmolStr,
     /// Who applied the change: the name that the operator gave.
     pub actor: SmolStr,
-    /// When the CLI sent the change, in milliseconds since the Unix epoch.
+    /// When the CLI made the change, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// Version of the template row before the change; 0 for a new template.
+    /// Version of the changed row before the change; 0 for a new row.
     pub version_before: u64,
-    /// Unified diff from the old template text to the new one.
+    /// Unified diff from the old template text to the new one; for a drain or an evacuation, one
+    /// line such as `+evacuate attiki-b`.
     pub diff: String,
 }
 
@@ -42,10 +43,10 @@
 
 /// A version of the routing configuration that an entry node has applied.
 ///
-/// Where operators write the configuration to the platform directly, entry
-/// nodes see versions but not their authors. The record contains the diff to
-/// the version that the node held before, and the version that the author
-/// started from. If these two versions differ, the node has missed versions.
+/// Where operators write the configuration to the platform directly, entry nodes see versions but
+/// not their authors. The record contains the diff from the version that the node held before, and
+/// the version that the author started from. If these two versions differ, the node has missed
+/// versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
     /// The applied version.
@@ -65,25 +66,25 @@
 }
 
 impl VersionRecord {
-    /// Truncates the diff after its last whole line within `max_bytes`, and records the number of lines
-    /// cut.
+    /// Truncates the diff after its last whole line within `max_bytes`, and records the number of
+    /// lines cut.
     pub fn truncate_diff(&mut self, max_bytes: usize) {
         if self.diff.len() <= max_bytes {
             return;
         }
-        let mut kept = 0;
-        let mut lines = 0;
+        let mut kept_bytes = 0;
+        let mut cut_lines = 0;
         for line in self.diff.split_inclusive('\n') {
-            match kept + line.len() <= max_bytes {
-                true => kept += line.len(),
-                false => lines += 1,
+            match kept_bytes + line.len() <= max_bytes {
+                true => kept_bytes += line.len(),
+                false => cut_lines += 1,
             }
-            if lines > 0 {
+            if cut_lines > 0 {
                 break;
             }
         }
-        self.diff_lines_left_out = self.diff[kept..].lines().count();
-        self.diff.truncate(kept);
+        self.diff_lines_left_out = self.diff[kept_bytes..].lines().count();
+        self.diff.truncate(kept_bytes);
     }
 
     /// Returns the record as JSON text.
--- a/crates/audit/src/tests.rs
+++ b/crates/audit/src/tests.rs
@@ -18,8 +18,8 @@
     assert_eq!(VersionRecord::from_json(&record.to_json()), Ok(record));
 }
 
-/// Guards against a change of hundreds of routes that leaves no record, because its diff exceeds the
-/// maximum size of a row and the store rejects the record on every attempt.
+/// Guards against a change of hundreds of routes that leaves no record, because its diff exceeds
+/// the maximum size of a row and the store rejects the record on every attempt.
 #[yare::parameterized(
     fits = { 9, "-a\n+b\n+c\n", 0 },
     second_line_cut = { 5, "-a\n", 2 },
--- a/crates/store/src/proto.rs
+++ b/crates/store/src/proto.rs
@@ -3,10 +3,12 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Commit sequence number of the table service; a row's version is that of the commit that last wrote it.
+/// Commit sequence number of the table service; a row's version is that of the commit that last
+/// wrote it.
 pub type Version = u64;
 
-/// Identifier that a writer chooses for a change, so that it can later find out whether it was committed.
+/// Identifier that a writer chooses for a change, so that it can later find out whether the change
+/// was committed.
 pub type ChangeId = SmolStr;
 
 /// A row of a table.
@@ -25,7 +27,7 @@
 /// The rows of one table that were written after a given commit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rows {
-    /// Latest commit of the whole table service when it made the response.
+    /// Latest commit of the whole table service at the time of the response.
     pub head: Version,
     /// Matching rows, sorted by key.
     pub rows: Vec<Row>,
@@ -115,8 +117,8 @@
 /// Value of a row of the drains table whose key is an upstream's address.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Identifier of the drained VM; empty when the VM list provided none, and in rows written before VMs
-    /// had identifiers.
+    /// Identifier of the drained VM; empty when the VM list provided none, and in rows written
+    /// before VMs had identifiers.
     #[serde(default)]
     pub vm_id: SmolStr,
     /// Whether an operator has lifted the drain.
@@ -125,8 +127,8 @@
 }
 
 impl Drain {
-    /// Returns true when the drain is in force for `vm`, which must be the VM at the row's address. An
-    /// empty identifier matches any VM.
+    /// Returns true when the drain is in force for `vm`, which must be the VM at the row's address.
+    /// An empty identifier matches any VM.
     pub fn applies_to(&self, vm: &Vm) -> bool {
         !self.lifted && (self.vm_id.is_empty() || vm.id.is_empty() || self.vm_id == vm.id)
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -16,13 +16,17 @@
     /// The reason why a request to the platform failed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum StoreError {
-        /// The platform could not be reached or reported that it is unavailable; nothing was written.
+        /// The platform could not be reached or reported that it is unavailable; nothing was
+        /// written.
         Unavailable(message: String) {
             display("platform unavailable: {}", message)
         }
         /// A transaction was rejected because a row has changed since it was read.
         Conflict(conflict: proto::Conflict) {
-            display("conflict: {}/{} is now at version {}", conflict.table, conflict.key, conflict.current_version)
+            display(
+                "conflict: {}/{} is now at version {}",
+                conflict.table, conflict.key, conflict.current_version
+            )
         }
         /// The request was sent but got no response; the write may or may not have taken effect.
         Unknown(message: String) {
@@ -63,7 +67,8 @@
         }
     }
 
-    /// Reads every row of `table` written after commit `since`, and the table service's latest commit.
+    /// Reads every row of `table` written after commit `since`, and the table service's latest
+    /// commit.
     ///
     /// # Errors
     ///
@@ -80,11 +85,10 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] when a row has changed since it was read;
-    /// [`StoreError::Unknown`] when the request may have been sent but got no
-    /// response, so that the caller must read back the change id to learn the
-    /// outcome; [`StoreError::Unavailable`] when nothing was sent or the
-    /// platform refused before writing; [`StoreError::BadResponse`].
+    /// [`StoreError::Conflict`] when a row has changed since it was read; [`StoreError::Unknown`]
+    /// when the request may have been sent but got no response, so that the caller must look for
+    /// the change id in the written rows to learn the outcome; [`StoreError::Unavailable`] when
+    /// nothing was sent or the platform refused before writing; [`StoreError::BadResponse`].
     pub async fn commit(&self, txn: &proto::Txn) -> Result<proto::Committed, StoreError> {
         let body =
             Bytes::from(serde_json::to_vec(txn).expect("transaction can be serialized as JSON"));
@@ -111,9 +115,8 @@
 
     /// Reads the changes of the VM list after version `since`; 0 reads the whole list.
     ///
-    /// A response without changes takes a few hundred bytes whatever the size
-    /// of the list, and the whole list about 105 bytes per VM
-    /// (docs/CAPACITY.md).
+    /// A response without changes takes a few hundred bytes whatever the size of the list, and the
+    /// whole list about 105 bytes per VM (docs/CAPACITY.md).
     ///
     /// # Errors
     ///
@@ -141,7 +144,8 @@
         path: &str,
         body: Bytes,
     ) -> Result<web::Response, web::Error> {
-        // Ends the borrow before the first await: a concurrent call must be able to borrow the cell.
+        // Ends the borrow before the first await: a concurrent call must be able to borrow the
+        // cell.
         let open = self.conn.borrow_mut().take();
         let mut conn = match open {
             Some(conn) => conn,
