--- a/crates/meter/src/lib.rs
+++ b/crates/meter/src/lib.rs
@@ -1,8 +1,7 @@
 //! OpenTelemetry metrics, exported as Prometheus text.
 //!
-//! The request path increments plain integers; each scrape adds their increase
-//! since the last scrape to the OpenTelemetry counters. Only histograms are
-//! recorded at the time of the event.
+//! The request path increments plain integers; each scrape adds their increase since the last
+//! scrape to the OpenTelemetry counters. Only histograms are recorded at the time of the event.
 
 use std::cell::RefCell;
 
@@ -26,7 +25,7 @@
     }
 }
 
-/// Name, description and getter of a counter whose value is kept in a `C`.
+/// Name, description and getter of a counter; `C` is the struct that holds the plain integers.
 pub type CounterSpec<C> = (&'static str, &'static str, fn(&C) -> u64);
 
 /// A counter and the value that was last exported.
@@ -36,7 +35,7 @@
     exported: u64,
 }
 
-/// The metrics of one process, with counters that are kept in a `C`.
+/// The metrics of one process; `C` is the struct that holds the plain integers of its counters.
 pub struct Metrics<C> {
     registry: Registry,
     meter: Meter,
@@ -86,14 +85,15 @@
         self.meter.u64_gauge(name).build()
     }
 
-    /// Returns all metrics as Prometheus text, with the counters updated to their values in `now`.
+    /// Returns all metrics as Prometheus text, with the counters updated to their values in
+    /// `current`.
     ///
     /// # Errors
     ///
     /// [`Error::Encode`] when the metrics cannot be encoded.
-    pub fn scrape(&self, now: &C) -> Result<String, Error> {
+    pub fn scrape(&self, current: &C) -> Result<String, Error> {
         for counter in self.counters.borrow_mut().iter_mut() {
-            let value = (counter.read)(now);
+            let value = (counter.read)(current);
             counter.instrument.add(value.saturating_sub(counter.exported), &[]);
             counter.exported = value;
         }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,11 +1,10 @@
 //! Structured log lines on standard output, one JSON object each.
 //!
-//! Each thread buffers its [`Line`]s; [`flush`] passes the buffer to a writer
-//! thread. A slow or stopped reader of standard output therefore costs lines
-//! but never blocks a thread that logs: while the writer thread is behind,
-//! lines are dropped, and the next line that gets through states how many.
-//! Lines beyond [`MAX_LINES_PER_FLUSH`] between two flushes are dropped in the
-//! same way, so that logging cannot make an overload worse.
+//! Each thread buffers its [`Line`]s; [`flush`] passes the buffer to a writer thread. A slow or
+//! stopped reader of standard output therefore costs lines but never blocks a thread that logs:
+//! while the writer thread is behind, lines are dropped, and a later `lines_dropped` line states
+//! how many. Lines beyond [`MAX_LINES_PER_FLUSH`] between two flushes are dropped in the same way,
+//! so that logging cannot make an overload worse.
 //!
 //! The schema of the lines is in docs/ops/logs.md.
 
@@ -30,6 +29,7 @@
 #[derive(Default)]
 struct ThreadBuffer {
     bytes: Vec<u8>,
+    /// Number of lines buffered since the last flush, without `lines_dropped` lines.
     lines: usize,
     /// Number of dropped lines that are not reported yet.
     dropped: u64,
@@ -50,8 +50,8 @@
 
 static WRITER: OnceLock<SyncSender<Message>> = OnceLock::new();
 
-/// Starts the writer thread, which writes to `out`. Without it, [`flush`] drops all lines. Further calls
-/// have no effect on where lines go.
+/// Starts the writer thread, which writes to `out`. Until it is started, [`flush`] drops all lines.
+/// Further calls have no effect on where lines go.
 ///
 /// # Errors
 ///
@@ -104,8 +104,8 @@
 
 /// Flushes and waits up to `timeout` until everything is written.
 ///
-/// For use before the process exits: its last lines state why it ended, and would otherwise be lost.
-/// Returns at once when the queue of the writer thread is full.
+/// For use before the process exits: its last lines state why it ended, and would otherwise be
+/// lost. Returns immediately when the queue of the writer thread is full.
 pub fn flush_and_wait(timeout: Duration) {
     flush();
     let (reply, written) = sync_channel(1);
@@ -132,7 +132,7 @@
         Line { bytes }
     }
 
-    /// Adds a field. It is left out when `value` cannot be serialized as JSON.
+    /// Adds a field, or nothing when `value` cannot be serialized as JSON.
     pub fn field<T: Serialize>(mut self, name: &'static str, value: T) -> Line {
         let before = self.bytes.len();
         self.bytes.extend_from_slice(b",\"");
--- a/crates/trace/src/tests.rs
+++ b/crates/trace/src/tests.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Guards against requests that stall while nobody reads standard output, because the thread that serves
-/// them writes to a full pipe.
+/// Guards against requests that stall while nobody reads standard output, because the thread that
+/// serves them writes to a full pipe.
 #[test]
 fn a_blocked_writer_drops_lines_and_never_blocks_logging() {
     let (written, seen) = channel();
