--- a/crates/web/src/h1/head.rs
+++ b/crates/web/src/h1/head.rs
@@ -133,7 +133,7 @@
     let method = Method::from_bytes(parsed.method.unwrap_or_default().as_bytes())
         .map_err(|err| ParseError::Syntax(err.to_string()))?;
     let is_http11 = parsed.version == Some(1);
-    let framing = match body_length(&headers, is_http11)? {
+    let framing = match declared_framing(&headers, is_http11)? {
         Some(framing) => framing,
         None => Framing::Empty,
     };
@@ -172,7 +172,7 @@
     let bodyless = *method == Method::HEAD
         || status.is_informational()
         || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-    let framing = match body_length(&headers, is_http11)? {
+    let framing = match declared_framing(&headers, is_http11)? {
         _ if bodyless => Framing::Empty,
         Some(framing) => framing,
         None => Framing::UntilClose,
@@ -206,7 +206,7 @@
 }
 
 /// Returns the body framing that the headers declare; `None` when they declare none.
-fn body_length(headers: &HeaderMap, is_http11: bool) -> Result<Option<Framing>, ParseError> {
+fn declared_framing(headers: &HeaderMap, is_http11: bool) -> Result<Option<Framing>, ParseError> {
     let mut codings = headers.get_all(http::header::TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(http::header::CONTENT_LENGTH).iter();
     match (codings.next(), lengths.next()) {
@@ -270,14 +270,14 @@
         _ => return Err(ParseError::Host),
     };
     let host_and_port = authority.or(host_header).unwrap_or_default();
-    let valid =
+    let has_valid_bytes =
         host_and_port.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._~:[]%".contains(&b));
-    let required = is_http11 && host_and_port.is_empty();
+    let is_missing = is_http11 && host_and_port.is_empty();
     let (name, port) = match host_and_port.rsplit_once(':') {
         Some((name, port)) if !port.ends_with(']') => (name, port),
         _ => (host_and_port, ""),
     };
-    match valid && !required && port.bytes().all(|b| b.is_ascii_digit()) {
+    match has_valid_bytes && !is_missing && port.bytes().all(|b| b.is_ascii_digit()) {
         true => Ok(SmolStr::from(name.to_ascii_lowercase())),
         false => Err(ParseError::Host),
     }
--- a/crates/web/src/h1/tests.rs
+++ b/crates/web/src/h1/tests.rs
@@ -29,17 +29,41 @@
 /// bytes that one of them takes for the body of the first. Ambiguous requests must be rejected, not
 /// guessed at.
 #[yare::parameterized(
-    two_lengths = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", "framing" },
-    same_length_twice = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n", "framing" },
+    two_lengths = {
+        "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n",
+        "framing",
+    },
+    same_length_twice = {
+        "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n",
+        "framing",
+    },
     list_of_lengths = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\n", "framing" },
     signed_length = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\n", "framing" },
     empty_length = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n\r\n", "framing" },
-    huge_length = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999\r\n\r\n", "framing" },
-    length_and_chunks = { "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "framing" },
-    chunked_twice = { "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", "framing" },
-    chunked_in_http_1_0 = { "POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", "framing" },
-    other_coding = { "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", "coding" },
-    coding_with_a_prefix = { "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", "coding" },
+    huge_length = {
+        "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999\r\n\r\n",
+        "framing",
+    },
+    length_and_chunks = {
+        "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
+        "framing",
+    },
+    chunked_twice = {
+        "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
+        "framing",
+    },
+    chunked_in_http_1_0 = {
+        "POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n",
+        "framing",
+    },
+    other_coding = {
+        "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
+        "coding",
+    },
+    coding_with_a_prefix = {
+        "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n",
+        "coding",
+    },
     no_host = { "GET / HTTP/1.1\r\n\r\n", "host" },
     two_hosts = { "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "host" },
     empty_host = { "GET / HTTP/1.1\r\nHost:\r\n\r\n", "host" },
@@ -67,8 +91,16 @@
 }
 
 #[yare::parameterized(
-    origin = { "GET /a/b?c HTTP/1.1\r\nHost: Seeds.Example:8080\r\n\r\n", "seeds.example", "/a/b?c" },
-    absolute = { "GET http://one.example/a HTTP/1.1\r\nHost: two.example\r\n\r\n", "one.example", "/a" },
+    origin = {
+        "GET /a/b?c HTTP/1.1\r\nHost: Seeds.Example:8080\r\n\r\n",
+        "seeds.example",
+        "/a/b?c",
+    },
+    absolute = {
+        "GET http://one.example/a HTTP/1.1\r\nHost: two.example\r\n\r\n",
+        "one.example",
+        "/a",
+    },
     literal_v6 = { "GET / HTTP/1.1\r\nHost: [::1]:80\r\n\r\n", "[::1]", "/" },
 )]
 fn hosts_and_targets_are_parsed(head: &str, host: &str, target: &str) {
@@ -78,13 +110,33 @@
 }
 
 #[yare::parameterized(
-    length = { "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", Method::GET, Some((Framing::Length(5), true)) },
-    chunked = { "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n", Method::GET, Some((Framing::Chunked, true)) },
+    length = {
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
+        Method::GET,
+        Some((Framing::Length(5), true)),
+    },
+    chunked = {
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n",
+        Method::GET,
+        Some((Framing::Chunked, true)),
+    },
     neither = { "HTTP/1.1 200 OK\r\n\r\n", Method::GET, Some((Framing::UntilClose, false)) },
-    close = { "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: a, Close\r\n\r\n", Method::GET, Some((Framing::Length(5), false)) },
-    head = { "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", Method::HEAD, Some((Framing::Empty, true)) },
+    close = {
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: a, Close\r\n\r\n",
+        Method::GET,
+        Some((Framing::Length(5), false)),
+    },
+    head = {
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
+        Method::HEAD,
+        Some((Framing::Empty, true)),
+    },
     no_content = { "HTTP/1.1 204 No Content\r\n\r\n", Method::GET, Some((Framing::Empty, true)) },
-    both = { "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", Method::GET, None },
+    both = {
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
+        Method::GET,
+        None,
+    },
     garbage = { "\u{1}\u{2}\u{3}", Method::GET, None },
 )]
 fn response_framing_is_parsed(head: &str, method: Method, expected: Option<(Framing, bool)>) {
--- a/crates/web/src/server/tests.rs
+++ b/crates/web/src/server/tests.rs
@@ -65,7 +65,9 @@
             assert!(read > 0, "closed after {text:?}");
             text.push_str(&String::from_utf8_lossy(&bytes[..read]));
         }
-        assert!(text.find("/a").expect("first answer") < text.find("/b").expect("second"));
+        assert!(
+            text.find("/a").expect("first response") < text.find("/b").expect("second response")
+        );
         assert_eq!(handler.completed.get(), 2);
     });
 }
