--- a/crates/oatcove/src/apply.rs
+++ b/crates/oatcove/src/apply.rs
@@ -20,7 +20,7 @@
 
 impl Default for RetryConfig {
     /// Returns eight attempts with delays from 100 ms on: about 25 s in all, which is longer than
-    /// the store is usually unavailable.
+    /// the platform is usually unavailable.
     fn default() -> Self {
         RetryConfig { max_attempts: 8, initial_backoff: Duration::from_millis(100) }
     }
@@ -45,7 +45,10 @@
         }
         /// The outcome could not be determined: the change may or may not be in force.
         Unknown(err: StoreError) {
-            display("outcome unknown: {}; `oatcove audit log` shows whether the change was committed", err)
+            display(
+                "outcome unknown: {}; `oatcove audit log` shows whether the change was committed",
+                err
+            )
         }
     }
 }
--- a/crates/oatcove/src/apply/tests.rs
+++ b/crates/oatcove/src/apply/tests.rs
@@ -29,7 +29,7 @@
 /// although it is in force, because a lost response to a commit is taken for a failure and the
 /// change is written again without a check.
 #[test]
-fn lost_response_is_resolved_by_reading_back_the_change_id() {
+fn lost_response_is_resolved_by_reading_back_the_audit_record() {
     web::runtime().block_on(async {
         let (platform, store) = start_platform();
         platform.set_faults(proto::Faults { lose_acks: 1, ..Default::default() });
--- a/crates/oatcove/src/explain.rs
+++ b/crates/oatcove/src/explain.rs
@@ -61,7 +61,7 @@
     let span = first.saturating_sub(CONTEXT_BEFORE_MS)..=last + CONTEXT_AFTER_MS;
     let nodes: BTreeSet<&str> = own.iter().map(|line| node(&line.prefix)).collect();
     let upstreams: BTreeSet<&str> = own.iter().flat_map(|line| upstreams(&line.value)).collect();
-    let contents: BTreeSet<&str> =
+    let content_keys: BTreeSet<&str> =
         own.iter().filter_map(|line| line.value["content"].as_str()).collect();
     let mut timeline: Vec<&Line> = lines
         .iter()
@@ -76,7 +76,7 @@
             // Shows why the request is quarantined, or no longer is; on any node and however long
             // ago.
             let of_content = line.value["request"].is_null()
-                && line.value["content"].as_str().is_some_and(|c| contents.contains(c));
+                && line.value["content"].as_str().is_some_and(|key| content_keys.contains(key));
             let in_span = span.contains(&line.unix_ms);
             of_request || of_content || (in_span && (of_node || of_upstream))
         })
@@ -93,8 +93,8 @@
 /// Returns true if a line is about `request`, which is a request id or a content key.
 fn is_about(line: &Value, request: &str) -> bool {
     let lost_requests = line["under_way"].as_array().into_iter().flatten();
-    let mut contents = lost_requests.map(|lost| &lost["content"]).chain([&line["content"]]);
-    line["request"] == request || contents.any(|content| content == request)
+    let mut content_keys = lost_requests.map(|lost| &lost["content"]).chain([&line["content"]]);
+    line["request"] == request || content_keys.any(|key| key == request)
 }
 
 /// Returns the counts of problems that other requests had with `upstream`, on all nodes; `None` if
@@ -107,8 +107,9 @@
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for line in lines {
         let event = line.value["event"].as_str().unwrap_or_default();
-        let about = line.value["upstream"] == upstream && !is_about(&line.value, request);
-        if about && UPSTREAM_PROBLEM_EVENTS.contains(&event) {
+        let of_other_request =
+            line.value["upstream"] == upstream && !is_about(&line.value, request);
+        if of_other_request && UPSTREAM_PROBLEM_EVENTS.contains(&event) {
             *counts.entry(event).or_default() += 1;
         }
     }
@@ -117,15 +118,16 @@
         .then(|| format!("  upstream {upstream}, all nodes, other requests: {}", counts.join(" ")))
 }
 
-/// Returns the name of the node: the last word before the JSON object.
+/// Returns the name of the node: the last word of the text before the JSON object.
 fn node(prefix: &str) -> &str {
     prefix.rsplit(' ').next().unwrap_or_default()
 }
 
-fn upstreams(value: &Value) -> Vec<&str> {
-    let sends = value["sends"].as_array().into_iter().flatten();
+/// Returns the upstreams that a line is about or lists as sends of its request.
+fn upstreams(line: &Value) -> Vec<&str> {
+    let sends = line["sends"].as_array().into_iter().flatten();
     let sent = sends.filter_map(|send| send["upstream"].as_str());
-    sent.chain(value["upstream"].as_str()).collect()
+    sent.chain(line["upstream"].as_str()).collect()
 }
 
 fn format_line(line: &Line, request: &str, first_ms: u64) -> String {
