--- a/crates/oatcove/src/main.rs
+++ b/crates/oatcove/src/main.rs
@@ -34,12 +34,12 @@
         #[bpaf(positional("FILE"))]
         files: Vec<PathBuf>,
     },
-    /// Counts by route and time what entry nodes logged about requests in trouble
+    /// Counts by route and time the problems with requests that entry nodes logged
     ///
     /// Example: `oatcove summary --window-s 2 edge-*.log`
     #[bpaf(command("summary"))]
     Summary {
-        /// Length of a span, in seconds
+        /// Length of a time window, in seconds
         #[bpaf(long("window-s"), argument("S"), fallback(10))]
         window_s: u64,
         /// Log files; standard input when there is none
@@ -72,7 +72,11 @@
         #[bpaf(long("platform"), argument("ADDR"), fallback("127.0.0.1:7000".parse().unwrap()))]
         platform: SocketAddr,
         /// Name recorded as the author of the change
-        #[bpaf(long("actor"), argument("NAME"), fallback(std::env::var("USER").unwrap_or_else(|_| "unknown".into())))]
+        #[bpaf(
+            long("actor"),
+            argument("NAME"),
+            fallback(std::env::var("USER").unwrap_or_else(|_| "unknown".into()))
+        )]
         actor: String,
         /// Template file (YAML)
         #[bpaf(positional("FILE"))]
@@ -105,12 +109,16 @@
         #[bpaf(long("platform"), argument("ADDR"), fallback("127.0.0.1:7000".parse().unwrap()))]
         platform: SocketAddr,
         /// Name recorded as the author of the change
-        #[bpaf(long("actor"), argument("NAME"), fallback(std::env::var("USER").unwrap_or_else(|_| "unknown".into())))]
+        #[bpaf(
+            long("actor"),
+            argument("NAME"),
+            fallback(std::env::var("USER").unwrap_or_else(|_| "unknown".into()))
+        )]
         actor: String,
-        /// Wait until every entry node holds no call to it, then say it may stop
+        /// Wait until no entry node has a call to it in flight, then report that it may stop
         #[bpaf(long("wait"), switch)]
         wait: bool,
-        /// Take the drain back: the upstream gets calls again
+        /// Lift the drain: the upstream gets calls again
         #[bpaf(long("lift"), switch)]
         lift: bool,
         /// Upstream address, ip:port
@@ -124,10 +132,10 @@
 /// Example: `oatcove zone evacuate --platform 10.0.0.2:7000 --actor ana attiki-b`
 #[derive(Bpaf, Debug)]
 enum ZoneCommand {
-    /// Keeps new calls from all upstreams of a zone; calls under way end
+    /// Stops new calls to all upstreams of a zone; calls in flight are completed
     #[bpaf(command("evacuate"))]
     Evacuate(#[bpaf(external(zone_change))] ZoneChange),
-    /// Takes an evacuation back
+    /// Lifts an evacuation
     #[bpaf(command("restore"))]
     Restore(#[bpaf(external(zone_change))] ZoneChange),
     /// Prints which zones are evacuated
@@ -136,7 +144,7 @@
         /// Platform address, ip:port
         #[bpaf(long("platform"), argument("ADDR"), fallback("127.0.0.1:7000".parse().unwrap()))]
         platform: SocketAddr,
-        /// Print one JSON object a line
+        /// Print one JSON object per line
         #[bpaf(long("json"), switch)]
         json: bool,
     },
@@ -148,7 +156,11 @@
     #[bpaf(long("platform"), argument("ADDR"), fallback("127.0.0.1:7000".parse().unwrap()))]
     platform: SocketAddr,
     /// Name recorded as the author of the change
-    #[bpaf(long("actor"), argument("NAME"), fallback(std::env::var("USER").unwrap_or_else(|_| "unknown".into())))]
+    #[bpaf(
+        long("actor"),
+        argument("NAME"),
+        fallback(std::env::var("USER").unwrap_or_else(|_| "unknown".into()))
+    )]
     actor: String,
     /// Availability zone
     #[bpaf(positional("ZONE"))]
@@ -234,7 +246,10 @@
     let timeline = oatcove::explain::explain(request, &text);
     match timeline.is_empty() {
         true => {
-            eprintln!("no log line about request {request}: it was answered in time, or its lines were dropped (look for lines_dropped events)");
+            eprintln!(
+                "no log line about request {request}: it was answered in time, or its lines were \
+                 dropped (look for lines_dropped events)"
+            );
             exit::INVALID
         }
         false => {
@@ -399,7 +414,10 @@
         let lifted = match serde_json::from_str::<store::proto::Evacuation>(&row.value) {
             Ok(evacuation) => evacuation.lifted,
             Err(err) => {
-                eprintln!("warning: the evacuation of zone {zone} cannot be decoded: {err}; entry nodes treat it as in force");
+                eprintln!(
+                    "warning: the evacuation of zone {zone} cannot be decoded: {err}; entry nodes \
+                     treat it as in force"
+                );
                 false
             }
         };
@@ -420,7 +438,8 @@
     match oatcove::drain::wait_until_drained(store, upstream).await {
         Ok(elapsed) => {
             println!(
-                "every entry node has {upstream} leaving with no call in flight after {} ms; it may stop",
+                "every entry node has {upstream} leaving with no call in flight after {} ms; \
+                 it may stop",
                 elapsed.as_millis()
             );
             0
@@ -428,7 +447,8 @@
         Err(not_drained) => {
             let nodes: Vec<String> = not_drained.iter().map(SocketAddr::to_string).collect();
             eprintln!(
-                "error: after {} s these entry nodes still have calls to {upstream} in flight or do not respond: {}",
+                "error: after {} s these entry nodes still have calls to {upstream} in flight or \
+                 do not respond: {}",
                 oatcove::drain::DRAIN_TIMEOUT.as_secs(),
                 nodes.join(", ")
             );
