--- a/crates/sim/src/crashes.rs
+++ b/crates/sim/src/crashes.rs
@@ -2,8 +2,8 @@
 //! decisions of `quarantine`.
 //!
 //! Callers send popular requests and unique ones, and possibly a request that crashes each upstream
-//! that runs it. Upstreams also crash for other reasons, many at once. Entry nodes send their
-//! findings to each other, which takes some time.
+//! that runs it (the crashing request). Upstreams also crash for other reasons, many at once. Entry
+//! nodes send their findings to each other, which takes some time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,7 +17,7 @@
 /// Wall clock time at which every run starts, in Unix milliseconds.
 const START_UNIX_MS: u64 = 1_800_000_000_000;
 
-/// Interval at which nodes check for findings to be announced.
+/// Interval at which nodes check for new findings to broadcast.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time after which all nodes must know of a request that has crashed three upstreams.
@@ -44,7 +44,7 @@
     pub mean_work: Duration,
     /// Requests per second, without the one that crashes upstreams.
     pub requests_per_s: f64,
-    /// Ratio of these that are one of the popular requests, and number of popular requests. All
+    /// Ratio of requests that are one of the popular ones, and number of popular requests. All
     /// others are unique.
     pub popular: (f64, usize),
     /// Mean interval of the request that crashes upstreams; `None` if there is no such request.
@@ -53,7 +53,7 @@
     pub mass_crashes: Vec<(Duration, f64)>,
     /// Time until a crashed upstream is up again.
     pub restart_time: Duration,
-    /// Whether a suspected request is sent to an upstream at which no other one runs.
+    /// Whether a suspected request is sent to an upstream at which no other suspected one runs.
     pub isolates_suspects: bool,
     /// Time during which callers make requests.
     pub duration: Duration,
@@ -113,20 +113,20 @@
 /// Counts of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CrashReport {
-    /// Upstreams crashed by the request that does so.
+    /// Crashes of upstreams that the crashing request caused.
     pub crashed: u32,
-    /// Sends of that request later than 3 s after it had crashed the third upstream, when all nodes
-    /// must know of it.
+    /// Sends of the crashing request later than 3 s after it had crashed the third upstream, when
+    /// all nodes must know of it.
     pub late_sends: u32,
-    /// Requests made that crash upstreams.
+    /// Times that the crashing request was made.
     pub crashing_requests: u32,
     /// Other requests made. The counts below are of the results of their last attempts.
     pub requests: u32,
-    /// Answered.
+    /// Requests that got a response.
     pub served: u32,
-    /// Refused because they were wrongly found to crash upstreams.
+    /// Requests refused because they were wrongly found to crash upstreams.
     pub wrongly_refused: u32,
-    /// Lost in a crash, or not sent because no upstream had a free slot.
+    /// Requests lost in a crash, or not sent because no upstream had a free slot.
     pub failed: u32,
 }
 
@@ -150,7 +150,8 @@
         request: usize,
         may_retry: bool,
     },
-    /// An upstream has finished its work on a request, unless it has crashed meanwhile.
+    /// An upstream has finished its work on a request, unless it has crashed meanwhile, so that
+    /// `restarts` no longer matches.
     WorkDone {
         upstream: usize,
         restarts: u64,
