--- a/crates/oatcoved/src/proxy.rs
+++ b/crates/oatcoved/src/proxy.rs
@@ -9,13 +9,13 @@
 //! its method as idempotent.
 //!
 //! [`forward`] handles one call, [`attempt`] sends it to one upstream,
-//! [`answer`] builds requests and responses, and [`held`] quarantines calls that
+//! [`response`] builds requests and responses, and [`crashes`] quarantines calls that
 //! crash upstreams.
 
-mod answer;
 mod attempt;
+mod crashes;
 mod forward;
-mod held;
+mod response;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/oatcoved/src/proxy/forward.rs
+++ b/crates/oatcoved/src/proxy/forward.rs
@@ -12,7 +12,7 @@
 use smol_str::SmolStr;
 
 use super::attempt::{Attempt, Outstanding};
-use super::{answer, held, Node};
+use super::{crashes, response, Node};
 use crate::notices;
 
 /// A hedge is sent once a call has taken this many times the mean latency of its kind.
@@ -52,7 +52,7 @@
 impl Call<'_> {
     /// Returns the content key, which does not depend on the request id.
     pub(super) fn content(&self) -> ContentKey {
-        *self.content.get_or_init(|| held::content(self.request, &self.service, self.path))
+        *self.content.get_or_init(|| crashes::content(self.request, &self.service, self.path))
     }
 
     fn remaining(&self) -> Duration {
@@ -126,8 +126,9 @@
         let request_id = self.request_id(&request);
         let Some(call) = self.resolve_call(&request, &request_id, service, path) else {
             self.view.borrow_mut().counters.not_run += 1;
-            let response = answer::not_run(StatusCode::NOT_FOUND, "unknown service\n", &request_id);
-            return (response, answer::NOT_RUN);
+            let response =
+                response::not_run(StatusCode::NOT_FOUND, "unknown service\n", &request_id);
+            return (response, response::NOT_RUN);
         };
         let Some(admitted) = self.admit(&call) else {
             let mut view = self.view.borrow_mut();
@@ -136,8 +137,8 @@
             drop(view);
             let expected_busy_time = self.expected_busy_time(&call);
             let response =
-                answer::refused("this entry node is full\n", expected_busy_time, &request_id);
-            return (response, answer::NOT_RUN);
+                response::refused("this entry node is full\n", expected_busy_time, &request_id);
+            return (response, response::NOT_RUN);
         };
         let result = self.run_attempts(&call).await;
         let elapsed = admitted.started_at.elapsed();
@@ -153,12 +154,12 @@
         match result {
             CallResult::Answered(response) => {
                 view.counters.done += 1;
-                (answer::done(response, &request_id), answer::DONE)
+                (response::done(response, &request_id), response::DONE)
             }
             CallResult::Quarantined(retry_after) => {
                 view.counters.not_run += 1;
                 let text = "this call crashes the upstreams that run it\n";
-                (answer::refused_for(text, retry_after, &request_id), answer::NOT_RUN)
+                (response::refused_for(text, retry_after, &request_id), response::NOT_RUN)
             }
             CallResult::NotRun { .. } => {
                 view.counters.not_run += 1;
@@ -166,10 +167,10 @@
                 drop(view);
                 let text = "no upstream could take the call\n";
                 let response = match retry_after {
-                    Some(retry_after) => answer::refused_for(text, retry_after, &request_id),
-                    None => answer::refused(text, self.expected_busy_time(&call), &request_id),
+                    Some(retry_after) => response::refused_for(text, retry_after, &request_id),
+                    None => response::refused(text, self.expected_busy_time(&call), &request_id),
                 };
-                (response, answer::NOT_RUN)
+                (response, response::NOT_RUN)
             }
             CallResult::Unknown(cause) => {
                 view.counters.unknown += 1;
@@ -180,7 +181,7 @@
                     Some(err) => (StatusCode::BAD_GATEWAY, err.to_string()),
                 };
                 let text = format!("{cause}; the call may have run\n");
-                (answer::unknown(status, &text, &request_id), answer::UNKNOWN)
+                (response::unknown(status, &text, &request_id), response::UNKNOWN)
             }
         }
     }
@@ -349,7 +350,7 @@
     async fn attempt(&self, call: &Call<'_>, addr: SocketAddr) -> Attempt {
         let remaining = call.remaining();
         let request =
-            answer::upstream_request(call.request, call.path, addr, &call.request_id, remaining);
+            response::upstream_request(call.request, call.path, addr, &call.request_id, remaining);
         let outstanding = Outstanding::start(&self.view, &call.service, addr, call.kind);
         self.record_send(addr);
         let (finding_version, _suspected_attempt) = self.begin_attempt(call, addr);
