--- a/crates/oatcoved/src/proxy/forward.rs
+++ b/crates/oatcoved/src/proxy/forward.rs
@@ -409,7 +409,7 @@
     /// Sends the call to `addr` and, if there is no response within the hedge delay, to a second
     /// upstream too. The first response is used and the other attempt is dropped.
     ///
-    /// The call must be idempotent. The hedge is paid from the retry budget.
+    /// The call must be idempotent. The hedge counts against the retry budget.
     async fn attempt_with_hedge(
         &self,
         call: &Call<'_>,
