--- a/crates/emu/src/platform.rs
+++ b/crates/emu/src/platform.rs
@@ -26,8 +26,8 @@
     /// Every change of the VM list and when it was received, oldest first.
     vm_log: Vec<(Instant, proto::Vm)>,
     faults: proto::Faults,
-    /// Transactions that got no response and are not applied yet, each with the time at which it is
-    /// due.
+    /// Transactions that got no response and are not applied yet, each with the earliest time at
+    /// which it is applied.
     delayed_commits: Vec<(Instant, proto::Txn)>,
 }
 
--- a/crates/emu/src/upstream.rs
+++ b/crates/emu/src/upstream.rs
@@ -37,7 +37,7 @@
 /// together.
 pub const LIMIT: &str = "x-oatcove-limit";
 
-/// Response header that announces that the upstream is about to stop.
+/// Response header that announces that the upstream is about to stop. Its value is always `1`.
 pub const LEAVING: &str = "x-oatcove-leaving";
 
 /// Exit code of a process that crashed because of [`Mode::crash_on`].
@@ -114,7 +114,7 @@
     pub executed: u64,
     /// Requests refused before they ran, for whatever reason.
     pub shed: u64,
-    /// `GET /load` probes answered.
+    /// Probes (`GET /load`) served.
     pub probes: u64,
     /// Largest number of executions of any one idempotency key.
     pub max_executions_per_key: u64,
--- a/crates/load/src/claims.rs
+++ b/crates/load/src/claims.rs
@@ -30,7 +30,7 @@
     pub done: u64,
     /// Claims with the outcome `not-run`.
     pub not_run: u64,
-    /// Claims that may have run, by the response or for want of one.
+    /// Claims that may have run: the response says so, or there was none.
     pub unknown: u64,
     /// Keys of claims executed more than once.
     pub ran_twice: Vec<SmolStr>,
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -13,7 +13,8 @@
 use crate::claims::{check_claims, ClaimOutcome};
 use crate::report::{ClassReport, Report};
 
-/// Timeout of one call on the caller's side, and of each read of entries or counters.
+/// Timeout of one call on the caller's side, and of each read of entries or counters. Also the
+/// maximum time that a run waits at its end for the calls in flight.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Timeout of a connection attempt to one entry node, after which the next one is tried.
@@ -61,7 +62,7 @@
 /// Addresses of the entry nodes to use in each zone, in the order of [`Plan::zones`].
 type EntriesByZone = Rc<RefCell<Vec<Vec<SocketAddr>>>>;
 
-/// Results collected while a run is under way.
+/// Results collected during a run.
 struct Tally {
     light: Histogram<u64>,
     heavy: Histogram<u64>,
@@ -147,8 +148,8 @@
         monoio::time::sleep(ARRIVAL_INTERVAL).await;
     }
     let elapsed = started.elapsed();
-    let drain_until = Instant::now() + CALL_TIMEOUT;
-    while tally.borrow().in_flight > 0 && Instant::now() < drain_until {
+    let wait_deadline = Instant::now() + CALL_TIMEOUT;
+    while tally.borrow().in_flight > 0 && Instant::now() < wait_deadline {
         monoio::time::sleep(ARRIVAL_INTERVAL * 10).await;
     }
     let after = upstream_stats(&plan.upstreams).await;
