--- a/xtask/src/cluster.rs
+++ b/xtask/src/cluster.rs
@@ -175,8 +175,8 @@
         self.entries.push(entry);
     }
 
-    /// Returns the JSON body of entry node `index`'s response to a GET of `path`; null when there is
-    /// no response or its body is not JSON.
+    /// Returns the JSON body of entry node `index`'s response to a GET of `path`; null when there
+    /// is no response or its body is not JSON.
     pub fn get_entry_json(&self, index: usize, path: &str) -> serde_json::Value {
         send_request(self.entries[index].addr, http::Method::GET, path, Vec::new())
             .and_then(|response| serde_json::from_slice(response.body()).ok())
@@ -302,8 +302,8 @@
         self.run_cli(&args)
     }
 
-    /// Waits until every entry node has loaded version `version` of `service`'s template, or a newer
-    /// one; returns the time that took, or `None` after `timeout`.
+    /// Waits until every entry node has loaded version `version` of `service`'s template, or a
+    /// newer one; returns the elapsed time, or `None` after `timeout`.
     pub fn wait_for_version(
         &self,
         service: &str,
@@ -326,7 +326,8 @@
         None
     }
 
-    /// Returns the addresses of the upstream stand-ins, for the load tool, which reads their counters.
+    /// Returns the addresses of the upstream stand-ins, for the load tool, which reads their
+    /// counters.
     pub fn upstream_addrs(&self) -> Vec<SocketAddr> {
         self.upstreams.iter().map(|p| p.addr).collect()
     }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,10 +1,11 @@
 //! `cargo xtask`: development tasks.
 //!
 //! - `cargo xtask demo`: builds the release binaries, starts the platform stand-in, upstream
-//!   stand-ins and entry nodes as separate processes on loopback, sends load through them, applies a
-//!   config change and drains an upstream meanwhile, and prints the load report and the audit log.
-//! - `cargo xtask patterns`: simulates load patterns in virtual time, with and without each placement
-//!   and admission rule.
+//!   stand-ins and entry nodes as separate processes on loopback, sends load through them, applies
+//!   a config change and drains an upstream meanwhile, and prints the load report and the audit
+//!   log.
+//! - `cargo xtask patterns`: simulates load patterns in virtual time, with and without each
+//!   placement and admission rule.
 //! - `cargo xtask policy`, `noisy`, `slopes`: the measurements in docs/bench.
 
 use std::path::PathBuf;
--- a/xtask/src/patterns.rs
+++ b/xtask/src/patterns.rs
@@ -5,8 +5,8 @@
 
 use sim::{CrashReport, CrashScenario, Report, Rules, Scenario};
 
-/// Load patterns: slots per upstream, factor by which its machine is slower a third of the time, and
-/// interval at which that changes, in milliseconds.
+/// Load patterns: slots per upstream, factor by which its machine is slower a third of the time,
+/// and interval at which that changes, in milliseconds.
 const PATTERNS: [(u32, f64, u64); 5] =
     [(1, 3.0, 300), (2, 5.0, 150), (6, 4.0, 300), (16, 2.0, 150), (16, 2.0, 2_000)];
 
@@ -61,8 +61,8 @@
     run_crash_patterns(seeds);
 }
 
-/// Prints, for each crash pattern, how many upstreams crashed and how many requests were rejected by
-/// mistake.
+/// Prints, for each crash pattern, how many upstreams crashed and how many requests were rejected
+/// by mistake.
 fn run_crash_patterns(seeds: u64) {
     let usual = CrashScenario::baseline;
     let (ms, s) = (Duration::from_millis, Duration::from_secs);
--- a/xtask/src/policy.rs
+++ b/xtask/src/policy.rs
@@ -224,10 +224,11 @@
     println!("figures written to {}", out.display());
 }
 
-/// Measures a quiet team while another team sends heavy reads at 1.5 times the capacity of the slots.
+/// Measures a quiet team while another team sends heavy reads at 1.5 times the capacity of the
+/// slots.
 ///
-/// The template has only keys that every version knows, so that an earlier `oatcoved` can be measured
-/// too.
+/// The template has only keys that every version knows, so that an earlier `oatcoved` can be
+/// measured too.
 pub fn measure_noisy_team(bin_dir: &Path, work_dir: &Path) {
     for deployment in &DEPLOYMENTS {
         let cluster = start(deployment, bin_dir, work_dir);
--- a/xtask/src/slopes.rs
+++ b/xtask/src/slopes.rs
@@ -1,7 +1,7 @@
 //! `cargo xtask slopes`: the per-unit costs from which docs/CAPACITY.md is calculated.
 //!
-//! Each cost is the slope between two measurements of one entry node process with small stand-ins on
-//! loopback: CPU time from `/proc/PID/schedstat`, memory from `VmRSS`, sizes from the response
+//! Each cost is the slope between two measurements of one entry node process with small stand-ins
+//! on loopback: CPU time from `/proc/PID/schedstat`, memory from `VmRSS`, sizes from the response
 //! bodies. The figures are for the whole process and noisy; the page quotes those of a single run.
 
 use std::path::Path;
--- a/xtask/tests/e2e.rs
+++ b/xtask/tests/e2e.rs
@@ -34,8 +34,8 @@
 /// Time allowed for a state that is usually reached within a few seconds; long, for busy machines.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Starts a cluster in a directory of its own, and waits until `template` is in force on every entry
-/// node.
+/// Starts a cluster in a directory of its own, and waits until `template` is in force on every
+/// entry node.
 fn start_cluster(name: &str, spec: &ClusterSpec, template: &str) -> Cluster {
     let dir = std::env::temp_dir().join(format!("oatcove-e2e-{name}-{}", std::process::id()));
     let cluster = Cluster::start(&bin_dir(), &dir, spec);
@@ -65,7 +65,8 @@
         .expect("report is JSON")
 }
 
-/// Returns whether a node's status shows the upstream at `addr` as leaving, in the pool of any service.
+/// Returns whether a node's status shows the upstream at `addr` as leaving, in the pool of any
+/// service.
 fn is_leaving(status: &serde_json::Value, addr: std::net::SocketAddr) -> bool {
     let text = addr.to_string();
     let pools = status["upstreams"].as_object().map(|pools| pools.values());
@@ -108,9 +109,9 @@
     }
 }
 
-/// Guards against callers that are sent to an entry node that is gone, because discovery relies on the
-/// platform's list alone, which lags; and against a node that stays dead to its peers after a pause
-/// longer than the suspicion timeout, because it cannot refute its death.
+/// Guards against callers that are sent to an entry node that is gone, because discovery relies on
+/// the platform's list alone, which lags; and against a node that stays dead to its peers after a
+/// pause longer than the suspicion timeout, because it cannot refute its death.
 #[test]
 fn a_killed_entry_node_is_not_discovered_and_a_paused_one_is_alive_again() {
     let mut cluster =
@@ -173,11 +174,11 @@
     let addr = cluster.entries[2].addr;
     let response =
         xtask::cluster::send_request(addr, http::Method::GET, "/s/swap-desk/light", Vec::new());
-    assert_eq!(response.expect("an answer").status(), http::StatusCode::OK);
+    assert_eq!(response.expect("a response").status(), http::StatusCode::OK);
 }
 
-/// Guards against a node that misses accepted changes, because it alone cannot reach the platform and
-/// reads config from nowhere else: a config change and a drain must reach it through its peers.
+/// Guards against a node that misses accepted changes, because it alone cannot reach the platform
+/// and reads config from nowhere else: a config change and a drain must reach it through its peers.
 #[test]
 fn a_node_partitioned_from_the_platform_receives_changes_through_its_peers() {
     let mut cluster = start_cluster("cutoff", &spec(), "service: swap-desk\n");
@@ -202,9 +203,9 @@
 
 /// Guards against a claim that runs twice, because it is sent again although it may have run, and
 /// against a caller that is told a wrong outcome, because a node guesses it. Half of the calls are
-/// claims; meanwhile an upstream and an entry node are paused past every deadline and resume, an entry
-/// node is killed, the platform has an outage, one upstream drains and another becomes a straggler. What
-/// callers were told is checked against what upstreams ran.
+/// claims; an upstream and an entry node are paused past every deadline, an entry node is killed,
+/// an upstream drains, another becomes a straggler, and the platform has an outage. What callers
+/// were told is checked against what upstreams ran.
 #[test]
 fn claims_run_at_most_once_through_kills_pauses_and_an_outage() {
     let spec = ClusterSpec { entries: 3, upstreams_per_zone: 3, ..spec() };
@@ -246,8 +247,8 @@
 }
 
 /// Guards against upstreams that are probed more often than their service's budget allows, because
-/// each entry node probes at the whole budget, or two nodes hold the same probe assignment. Under load,
-/// three entry nodes probe four upstreams while one node is killed and another starts.
+/// each entry node probes at the whole budget, or two nodes hold the same probe assignment. Under
+/// load, three entry nodes probe four upstreams while one node is killed and another starts.
 #[test]
 fn probes_of_the_whole_fleet_stay_within_the_budget() {
     let budget = 8;
@@ -282,8 +283,8 @@
     assert!(probes > 0, "no upstream is probed");
 }
 
-/// Checks the whole path: an applied template is in force on every entry node, all calls succeed and
-/// run once, and a config change is in force everywhere and in the audit log.
+/// Checks the whole path: an applied template is in force on every entry node, all calls succeed
+/// and run once, and a config change is in force everywhere and in the audit log.
 #[test]
 fn calls_flow_and_a_config_change_reaches_every_entry_node() {
     let dir = std::env::temp_dir().join(format!("oatcove-e2e-{}", std::process::id()));
@@ -342,7 +343,8 @@
 }
 
 /// Guards against an invalid template that reaches entry nodes, because it is written before it is
-/// validated, or that is rejected one finding at a time, because validation stops at the first error.
+/// validated, or that is rejected one finding at a time, because validation stops at the first
+/// error.
 #[test]
 fn an_invalid_template_is_rejected_with_every_finding_and_nothing_written() {
     let dir = std::env::temp_dir().join(format!("oatcove-e2e-bad-{}", std::process::id()));
@@ -380,9 +382,10 @@
     stats(addr)["executed"].as_u64().expect("executed")
 }
 
-/// Guards against an upstream that still receives calls after a drain, because entry nodes follow only
-/// the VM list, which lags; and against calls in flight that a drain cuts. Under load, an operator
-/// drains one upstream and waits until no entry node has a call to it in flight; the load goes on.
+/// Guards against an upstream that still receives calls after a drain, because entry nodes follow
+/// only the VM list, which lags; and against calls in flight that a drain cuts. Under load, an
+/// operator drains one upstream and waits until no entry node has a call to it in flight; the load
+/// goes on.
 #[test]
 fn a_drained_upstream_gets_no_new_calls_and_no_call_is_cut() {
     let cluster = start_cluster("drain", &spec(), "service: swap-desk\n");
@@ -403,9 +406,10 @@
     assert_eq!(report["errors"], serde_json::json!({}), "{report}");
 }
 
-/// Guards against a request that crashes every upstream, with all other requests that run there: its
-/// caller retries it at any entry node, and unless the nodes remember which requests upstreams crashed
-/// under, they send it to one upstream after the other and treat each retry as a new request.
+/// Guards against a request that crashes every upstream, with all other requests that run there:
+/// its caller retries it at any entry node, and unless the nodes remember which requests upstreams
+/// crashed under, they send it to one upstream after the other and treat each retry as a new
+/// request.
 #[test]
 fn a_request_that_crashes_upstreams_is_quarantined() {
     let spec = ClusterSpec { entries: 3, upstreams_per_zone: 12, light_ms: 20, ..spec() };
@@ -425,7 +429,7 @@
     };
     let mut sent = 0;
     while cluster.crashed_upstream_count() < 3 {
-        assert!(sent < 20, "three upstreams crash");
+        assert!(sent < 20, "fewer than three upstreams crashed");
         send(&cluster, sent, "/s/swap-desk/crash");
         sent += 1;
     }
