--- a/xtask/src/cluster.rs
+++ b/xtask/src/cluster.rs
@@ -39,7 +39,8 @@
 }
 
 impl Process {
-    /// Returns the CPU time that the process has used so far, from `/proc/PID/schedstat`.
+    /// Returns the CPU time that the main thread of the process has used so far, from
+    /// `/proc/PID/schedstat`. Other threads, such as the log writer, are not counted.
     ///
     /// Zero when the file cannot be read.
     pub fn cpu_time(&self) -> Duration {
--- a/xtask/src/patterns.rs
+++ b/xtask/src/patterns.rs
@@ -64,16 +64,16 @@
 /// Prints, for each crash pattern, how many upstreams crashed and how many requests were rejected
 /// by mistake.
 fn run_crash_patterns(seeds: u64) {
-    let usual = CrashScenario::baseline;
+    let baseline = CrashScenario::baseline;
     let (ms, s) = (Duration::from_millis, Duration::from_secs);
-    let no_crashing_request = || CrashScenario { crashing_request_interval: None, ..usual() };
+    let no_crashing_request = || CrashScenario { crashing_request_interval: None, ..baseline() };
     let patterns: [(&str, CrashScenario); 9] = [
-        ("a crashing request, 5/s", usual()),
-        ("50/s", CrashScenario { crashing_request_interval: Some(ms(20)), ..usual() }),
-        ("each 4 s", CrashScenario { crashing_request_interval: Some(s(4)), ..usual() }),
-        ("5/s, news after 80 ms", CrashScenario { gossip_delay: ms(80), ..usual() }),
-        ("5/s, 300 nodes", CrashScenario { nodes: 300, ..usual() }),
-        ("5/s, 4 upstreams", CrashScenario { upstreams: 4, requests_per_s: 30.0, ..usual() }),
+        ("a crashing request, 5/s", baseline()),
+        ("50/s", CrashScenario { crashing_request_interval: Some(ms(20)), ..baseline() }),
+        ("each 4 s", CrashScenario { crashing_request_interval: Some(s(4)), ..baseline() }),
+        ("5/s, news after 80 ms", CrashScenario { gossip_delay: ms(80), ..baseline() }),
+        ("5/s, 300 nodes", CrashScenario { nodes: 300, ..baseline() }),
+        ("5/s, 4 upstreams", CrashScenario { upstreams: 4, requests_per_s: 30.0, ..baseline() }),
         (
             "a third ends, once",
             CrashScenario { mass_crashes: vec![(s(10), 0.33)], ..no_crashing_request() },
--- a/xtask/src/slopes.rs
+++ b/xtask/src/slopes.rs
@@ -1,8 +1,9 @@
 //! `cargo xtask slopes`: the per-unit costs from which docs/CAPACITY.md is calculated.
 //!
 //! Each cost is the slope between two measurements of one entry node process with small stand-ins
-//! on loopback: CPU time from `/proc/PID/schedstat`, memory from `VmRSS`, sizes from the response
-//! bodies. The figures are for the whole process and noisy; the page quotes those of a single run.
+//! on loopback: CPU time of its main thread from `/proc/PID/schedstat`, memory from `VmRSS`, sizes
+//! from the response bodies. The figures include everything that the process does meanwhile and are
+//! noisy; the page quotes those of a single run.
 
 use std::path::Path;
 use std::process::Command;
@@ -123,7 +124,7 @@
 const PROBES_PER_S: u64 = 200;
 
 /// Returns the spec of a cluster in one zone whose upstreams respond fast.
-fn one_zone(upstreams_per_zone: usize, entries: usize) -> ClusterSpec {
+fn one_zone_spec(upstreams_per_zone: usize, entries: usize) -> ClusterSpec {
     ClusterSpec {
         service: "swap-desk".into(),
         zones: vec!["z-0".into()],
@@ -141,9 +142,9 @@
 }
 
 /// Measures CPU time, traffic and memory of an idle entry node for each fleet size.
-fn membership(bin_dir: &Path, work_dir: &Path) -> Vec<serde_json::Value> {
+fn measure_membership(bin_dir: &Path, work_dir: &Path) -> Vec<serde_json::Value> {
     let measure = |entries: usize| {
-        let cluster = Cluster::start(bin_dir, work_dir, &one_zone(1, entries));
+        let cluster = Cluster::start(bin_dir, work_dir, &one_zone_spec(1, entries));
         std::thread::sleep(MEMBERSHIP_SETTLING_TIME);
         let names = ["peer_packets_sent", "peer_bytes_sent", "peer_bytes_received"];
         let before = names.map(|name| counter(&cluster, name));
@@ -176,8 +177,8 @@
 
 /// Measures an idle entry node that polls a tenth as often; returns the CPU time that it uses per
 /// second, in microseconds.
-fn slow_poll_cpu_us_per_s(bin_dir: &Path, work_dir: &Path) -> f64 {
-    let mut cluster = Cluster::start(bin_dir, work_dir, &one_zone(1, 0));
+fn measure_slow_poll_cpu_us_per_s(bin_dir: &Path, work_dir: &Path) -> f64 {
+    let mut cluster = Cluster::start(bin_dir, work_dir, &one_zone_spec(1, 0));
     let interval = SLOW_POLL_INTERVAL.as_millis().to_string();
     cluster.start_entry("z-0", &[("config_poll_ms", interval.clone()), ("vm_poll_ms", interval)]);
     std::thread::sleep(MEMBERSHIP_SETTLING_TIME);
@@ -185,8 +186,8 @@
 }
 
 /// Measures the CPU time that a probe costs the entry node that sends it.
-fn probing(bin_dir: &Path, work_dir: &Path) -> serde_json::Value {
-    let mut cluster = Cluster::start(bin_dir, work_dir, &one_zone(8, 0));
+fn measure_probing(bin_dir: &Path, work_dir: &Path) -> serde_json::Value {
+    let mut cluster = Cluster::start(bin_dir, work_dir, &one_zone_spec(8, 0));
     cluster.start_entry("z-0", &[("probe_cap_per_s", PROBES_PER_S.to_string())]);
     let entry_vm = xtask::cluster::vm(&cluster.entries[0], proto::VmRole::Entry, "");
     cluster.put_vms(&[entry_vm]);
@@ -282,9 +283,9 @@
     println!("vm: {vm_poll_ns_per_vm:.0} ns CPU per VM per poll, {vm_rss:.0} B of memory, {vm_bytes:.0} B per VM in a full list, {empty_poll_body_bytes} B body of an empty change poll");
 
     drop(cluster);
-    let membership = membership(bin_dir, &work_dir.join("membership"));
-    let probing = probing(bin_dir, &work_dir.join("probing"));
-    let slow_poll_us_per_s = slow_poll_cpu_us_per_s(bin_dir, &work_dir.join("slow-poll"));
+    let membership = measure_membership(bin_dir, &work_dir.join("membership"));
+    let probing = measure_probing(bin_dir, &work_dir.join("probing"));
+    let slow_poll_us_per_s = measure_slow_poll_cpu_us_per_s(bin_dir, &work_dir.join("slow-poll"));
     let reads_per_s = |interval: Duration| READS_PER_POLL_INTERVAL / interval.as_secs_f64();
     let read_us = (idle_cpu_us_per_s - slow_poll_us_per_s)
         / (reads_per_s(POLL_INTERVAL) - reads_per_s(SLOW_POLL_INTERVAL));
--- a/xtask/tests/e2e.rs
+++ b/xtask/tests/e2e.rs
@@ -446,7 +446,7 @@
     assert_eq!(
         other_statuses,
         [200; 30],
-        "others are served; {} crashed",
+        "other requests were not all served; {} upstreams crashed",
         cluster.crashed_upstream_count()
     );
 }
