--- a/crates/oatcoved/src/discovery.rs
+++ b/crates/oatcoved/src/discovery.rs
@@ -31,8 +31,9 @@
 ///
 /// The platform's list lags behind: nodes that the membership reports as alive
 /// are added, and those that have left or are dead are removed. Suspected nodes
-/// come last. A node to which most others seem dead is more likely partitioned
-/// itself, so it then removes only those that have announced that they left.
+/// come last. If more than half of the others seem dead, this node is more likely
+/// partitioned itself, so it then removes only those that have announced that
+/// they left.
 pub fn entries(view: &View, zone: Option<&str>) -> Entries {
     let mut candidates: BTreeMap<SocketAddr, SmolStr> =
         view.entries.iter().map(|vm| (vm.addr, vm.zone.clone())).collect();
@@ -44,11 +45,12 @@
     let own_addr = view.settings.listen_addr;
     candidates.remove(&own_addr);
     let standing = |addr: &SocketAddr| view.peers.get(addr).and_then(|peer| peer.standing);
-    let dead = candidates.keys().filter(|addr| standing(addr) == Some(Standing::Dead)).count();
-    let trusts_dead = 2 * dead <= candidates.len();
+    let dead_count =
+        candidates.keys().filter(|addr| standing(addr) == Some(Standing::Dead)).count();
+    let trusts_dead_standings = 2 * dead_count <= candidates.len();
     candidates.retain(|addr, _| match standing(addr) {
         Some(Standing::Left) => false,
-        Some(Standing::Dead) => !trusts_dead,
+        Some(Standing::Dead) => !trusts_dead_standings,
         _ => true,
     });
     // This node includes itself even if the VM list does not contain it yet, so that a caller
--- a/crates/oatcoved/src/follow.rs
+++ b/crates/oatcoved/src/follow.rs
@@ -39,8 +39,8 @@
         let previous_head = view.borrow().synced_head();
         if let Err(err) = read_config(&store, &view).await {
             log::warn!("config poll failed, keeping the config of commit {previous_head}: {err}");
-            let source = crate::relay::config_source(&view.borrow(), &mut rand::rng());
-            if let Some(peer) = source {
+            let relay_peer = crate::relay::config_source(&view.borrow(), &mut rand::rng());
+            if let Some(peer) = relay_peer {
                 match read_config(&store::Store::new(peer), &view).await {
                     Ok(()) => view.borrow_mut().counters.relayed_reads += 1,
                     Err(err) => {
@@ -58,7 +58,8 @@
     }
 }
 
-/// Reads newer config rows from the platform, or from a peer, and applies them.
+/// Reads newer template, drain and evacuation rows from `store`, which is the platform or a peer,
+/// and applies them.
 async fn read_config(store: &store::Store, view: &RefCell<View>) -> Result<(), store::StoreError> {
     let since = view.borrow().config_head;
     let rows = store.since(store::TEMPLATES, since).await?;
@@ -207,7 +208,7 @@
                 };
                 let _ = channels.probe.send(input);
                 if changed {
-                    send_listed(&view, &channels);
+                    send_listed_nodes(&view, &channels);
                 }
             }
             Err(err) => {
@@ -259,14 +260,15 @@
                 view.vms = vms.into_iter().map(|vm| (vm.addr, vm)).collect();
                 rebuild_pools(&mut view);
             }
-            send_listed(view, channels);
+            send_listed_nodes(view, channels);
         }
         Ok(_) => {}
         Err(err) => log::warn!("peer={peer} cannot read the VM list from this peer: {err}"),
     }
 }
 
-fn send_listed(view: &RefCell<View>, channels: &Channels) {
+/// Sends the listed entry nodes to the membership task.
+fn send_listed_nodes(view: &RefCell<View>, channels: &Channels) {
     let listed = view.borrow().entries.iter().map(|vm| (vm.addr, vm.zone.clone())).collect();
     let _ = channels.gossip.send(gossip::Input::Listed(listed));
 }
@@ -281,7 +283,7 @@
     match () {
         _ if changes.head < since => {
             log::warn!(
-                "VM list version went back from {since} to {}; the next poll reads a snapshot",
+                "VM list head decreased from {since} to {}; the next poll reads a snapshot",
                 changes.head
             );
             view.vm_head = 0;
--- a/crates/oatcoved/src/follow/history_tests.rs
+++ b/crates/oatcoved/src/follow/history_tests.rs
@@ -63,11 +63,11 @@
 
 async fn run_operator(index: usize, platform: SocketAddr, history: Rc<RefCell<Vec<Apply>>>) {
     let store = store::Store::new(platform);
-    let patience = RetryConfig { max_attempts: 5, initial_backoff: Duration::from_millis(5) };
+    let retry_config = RetryConfig { max_attempts: 5, initial_backoff: Duration::from_millis(5) };
     for nth in 0..APPLIES_PER_OPERATOR {
         let timeout_ms = (1_000 + index * 100 + nth) as u64;
         let started_at = Instant::now();
-        let result = apply::apply(&store, &template(timeout_ms), "op", patience).await;
+        let result = apply::apply(&store, &template(timeout_ms), "op", retry_config).await;
         let outcome = match result {
             Ok(Applied::Written { version, .. }) => ApplyOutcome::Applied(version),
             Ok(Applied::Unchanged { .. }) => unreachable!("all templates differ"),
@@ -183,10 +183,10 @@
 }
 
 async fn run_scenario(steps: Vec<FaultStep>) -> Result<(), String> {
-    let table = Rc::new(emu::platform::Platform::default());
+    let stand_in = Rc::new(emu::platform::Platform::default());
     let listener = monoio::net::TcpListener::bind("127.0.0.1:0").expect("bind");
     let platform = listener.local_addr().expect("address");
-    monoio::spawn(web::serve(listener, table.clone()));
+    monoio::spawn(web::serve(listener, stand_in.clone()));
     let closed_addr = {
         let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
         closed.local_addr().expect("address")
@@ -202,16 +202,16 @@
         (0..OPERATORS).map(|i| monoio::spawn(run_operator(i, platform, history.clone()))).collect();
     for step in steps {
         monoio::time::sleep(Duration::from_millis(step.after_ms)).await;
-        table.set_faults(step.faults);
+        stand_in.set_faults(step.faults);
     }
-    table.set_faults(proto::Faults::default());
+    stand_in.set_faults(proto::Faults::default());
     for operator in operators {
         operator.await;
     }
     // Waits until each unanswered transaction has been committed or never will be. The reads of the
     // nodes make the stand-in retry it.
     monoio::time::sleep(LATE_COMMIT_TIMEOUT).await;
-    let newest = table.rows(store::TEMPLATES).first().map_or(0, |row| row.version);
+    let newest = stand_in.rows(store::TEMPLATES).first().map_or(0, |row| row.version);
     let faults_cleared_at = Instant::now();
     while views.iter().any(|view| state(view).map_or(0, |(v, _)| v) < newest) {
         if faults_cleared_at.elapsed() > CONVERGENCE_TIMEOUT {
@@ -220,7 +220,7 @@
         monoio::time::sleep(POLL_INTERVAL).await;
     }
     views.clear();
-    let audit = table
+    let audit = stand_in
         .rows(store::AUDIT)
         .into_iter()
         .map(|row| (row.version, audit::Record::from_json(&row.value).expect("audit record")))
--- a/crates/oatcoved/src/follow/tests.rs
+++ b/crates/oatcoved/src/follow/tests.rs
@@ -221,9 +221,9 @@
     assert_eq!(health(&view), balance::Health::Healthy);
 }
 
-/// Guards against isolated nodes that go unnoticed: a request that crashes upstreams then crashes
-/// three at each of a dozen nodes. Nodes are isolated if the platform's list contains none of them,
-/// or none that is reachable.
+/// Guards against isolated nodes that go unnoticed: a call that crashes upstreams then crashes
+/// three of them through each of a dozen nodes. A node is isolated if the platform's list does not
+/// contain it, or if no other node of the list is reachable.
 #[test]
 fn isolated_node_reports_its_isolation() {
     let mut view = view();
@@ -233,18 +233,18 @@
         service: Default::default(),
         ..upstream(port, proto::VmState::Live)
     };
-    let listed = |view: &mut crate::view::View, head, ports: &[u16]| {
+    let set_listed = |view: &mut crate::view::View, head, ports: &[u16]| {
         let vms = ports.iter().map(|port| entry(*port)).collect();
         apply_vm_changes(view, 0, proto::VmChanges { head, vms });
     };
-    listed(&mut view, 1, &[7101]);
+    set_listed(&mut view, 1, &[7101]);
     assert_eq!(view.status().isolation, Some(Isolation::NotListed));
-    listed(&mut view, 2, &[7100, 7101]);
+    set_listed(&mut view, 2, &[7100, 7101]);
     assert_eq!(view.isolation(), Some(Isolation::NoPeers));
     let alive = Peer { standing: Some(wire::Standing::Alive), ..Peer::default() };
     view.peers.insert(entry(7101).addr, alive);
     assert_eq!(view.isolation(), None);
     view.peers.clear();
-    listed(&mut view, 3, &[7100]);
+    set_listed(&mut view, 3, &[7100]);
     assert_eq!(view.isolation(), None, "it is the only entry node");
 }
--- a/crates/oatcoved/src/gossip.rs
+++ b/crates/oatcoved/src/gossip.rs
@@ -1,8 +1,8 @@
 //! The membership task, which owns the membership socket and state.
 //!
 //! It receives UDP datagrams on the address and port that callers use over
-//! TCP, so that a node needs only a peer's address of the VM list. Other tasks
-//! send it [`Input`]s. It applies membership events to the [`View`].
+//! TCP, so a node reaches a peer at its address in the VM list. Other tasks send
+//! it [`Input`]s. It applies membership events to the [`View`].
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 use crate::view::View;
 
-/// Interval at which the membership state advances. Well below the shortest timeout of the
+/// Interval at which the membership state advances. It is well below the shortest timeout of the
 /// membership.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -108,11 +108,11 @@
 /// Broadcasts new backpressure notices of upstreams.
 fn broadcast_notices(
     members: &mut member::Members,
-    notices: &mut notice::Backpressure,
+    backpressure: &mut notice::Backpressure,
 ) -> Vec<member::Outgoing> {
     let now = Instant::now();
-    notices.expire(now);
-    let new_notices = notices.take_new_notices();
+    backpressure.expire(now);
+    let new_notices = backpressure.take_new_notices();
     new_notices.into_iter().flat_map(|notice| members.broadcast_notice(notice, now)).collect()
 }
 
@@ -182,6 +182,7 @@
         member::Event::Notice(notice) => {
             view.apply_notice(&notice);
         }
+        // Handled by `run`, which sends findings to the peer.
         member::Event::DigestMismatch { .. } => {}
     }
 }
--- a/crates/oatcoved/src/lib.rs
+++ b/crates/oatcoved/src/lib.rs
@@ -9,7 +9,7 @@
 //! - maintains the membership of entry nodes ([`gossip`]),
 //! - applies the backpressure that upstreams signal ([`notices`]),
 //! - probes upstreams within the probe budget of the fleet ([`probe`]), and
-//! - stops without cutting calls ([`stop`]).
+//! - stops without interrupting calls ([`stop`]).
 //!
 //! All tasks run on one monoio thread. Each task owns its sockets, tasks
 //! communicate by messages, and the request path reads one shared
--- a/crates/oatcoved/src/metrics.rs
+++ b/crates/oatcoved/src/metrics.rs
@@ -1,7 +1,8 @@
 //! OpenTelemetry metrics of one entry node, exposed as text at `GET /metrics`.
 //!
 //! No metric is labelled by service or upstream: with 560 services and 6,700
-//! upstreams a scrape would have megabytes. `GET /v1/status` has these figures.
+//! upstreams, a scrape would have a size of megabytes. `GET /v1/status` has the
+//! figures of each service and upstream.
 
 use std::time::{Duration, Instant};
 
@@ -24,7 +25,7 @@
     isolated: Gauge<u64>,
     limited: Gauge<u64>,
     leaving: Gauge<u64>,
-    resting: Gauge<u64>,
+    backing_off: Gauge<u64>,
     zones_evacuated: Gauge<u64>,
 }
 
@@ -69,7 +70,7 @@
             isolated: base.gauge("oatcove_isolated"),
             limited: base.gauge("oatcove_upstreams_limited"),
             leaving: base.gauge("oatcove_upstreams_leaving"),
-            resting: base.gauge("oatcove_upstreams_resting"),
+            backing_off: base.gauge("oatcove_upstreams_resting"),
             zones_evacuated: base.gauge("oatcove_zones_evacuated"),
             base,
         })
@@ -86,17 +87,17 @@
     ///
     /// [`meter::Error::Encode`] when the metrics cannot be encoded.
     pub fn scrape(&self, view: &View) -> Result<String, meter::Error> {
-        let reachable = |peer: &&crate::view::Peer| {
+        let is_reachable = |peer: &&crate::view::Peer| {
             peer.standing.is_some_and(|standing| standing <= wire::Standing::Suspect)
         };
         self.in_flight.record(view.in_flight, &[]);
         self.config_head.record(view.synced_head(), &[]);
-        self.peers_reachable.record(view.peers.values().filter(reachable).count() as u64, &[]);
+        self.peers_reachable.record(view.peers.values().filter(is_reachable).count() as u64, &[]);
         self.isolated.record(u64::from(view.isolation().is_some()), &[]);
         let now = Instant::now();
         self.limited.record(view.backpressure.limited_count(now) as u64, &[]);
         self.leaving.record(view.backpressure.leaving_count(now) as u64, &[]);
-        self.resting.record(view.backpressure.backoff_count(now) as u64, &[]);
+        self.backing_off.record(view.backpressure.backoff_count(now) as u64, &[]);
         self.zones_evacuated.record(view.evacuated_zones().count() as u64, &[]);
         self.base.scrape(&view.counters)
     }
--- a/crates/oatcoved/src/notices.rs
+++ b/crates/oatcoved/src/notices.rs
@@ -48,7 +48,8 @@
     }
 
     /// Applies the signals of a response of the upstream at `addr`; see
-    /// [`notice::Backpressure::apply_signals`]. Returns true if they change anything.
+    /// [`notice::Backpressure::apply_signals`] for `request_sent_at`. Returns true if they change
+    /// anything.
     pub(crate) fn apply_signals(
         &mut self,
         addr: SocketAddr,
@@ -82,7 +83,7 @@
         signals: &Signals,
         request_sent_at: Instant,
     ) -> bool {
-        let is_change = self.apply_signals(addr, signals, None);
+        let is_changed = self.apply_signals(addr, signals, None);
         let no_longer_leaving = match signals.leaving {
             Field::Absent | Field::Value(false) => self.backpressure.clear_leaving(
                 self.start_at(addr),
@@ -92,7 +93,7 @@
             Field::Value(true) | Field::Invalid => None,
         };
         no_longer_leaving.into_iter().for_each(|change| log_change(addr, change));
-        is_change || no_longer_leaving.is_some()
+        is_changed || no_longer_leaving.is_some()
     }
 
     /// Recomputes this node's shares of the limits if they are outdated.
--- a/crates/oatcoved/src/probe.rs
+++ b/crates/oatcoved/src/probe.rs
@@ -67,7 +67,7 @@
     };
     let mut idle = std::collections::HashMap::new();
     let mut list_requested_at = None;
-    let mut leased = false;
+    let mut had_lease = false;
     monoio::spawn(tick(tx.clone()));
     while let Some(input) = rx.recv().await {
         let now = Instant::now();
@@ -79,12 +79,12 @@
                     let idle_conn = idle.remove(&due.addr);
                     monoio::spawn(probe(due.addr, path, idle_conn, tx.clone()));
                 }
-                if leased && !scheduler.holds_lease(now) {
+                if had_lease && !scheduler.holds_lease(now) {
                     // Without probes, this node would not notice that a failing upstream has
                     // recovered.
                     withdraw_reports(scheduler.reset_failing(), &view, &gossip);
                 }
-                leased = scheduler.holds_lease(now);
+                had_lease = scheduler.holds_lease(now);
             }
             Input::Confirmed(at) => {
                 list_requested_at = Some(at);
@@ -116,6 +116,8 @@
     }
 }
 
+/// Passes the VM list and the probe budgets to the scheduler. Returns the upstreams whose health
+/// reports by this node must be withdrawn; see [`watch::ProbeScheduler::set_list`].
 fn update_targets(
     scheduler: &mut watch::ProbeScheduler,
     view: &View,
@@ -144,12 +146,14 @@
     )
 }
 
+/// Withdraws this node's health reports on the upstreams at `addrs` by reporting them as healthy.
 fn withdraw_reports(addrs: Vec<SocketAddr>, view: &RefCell<View>, gossip: &Tx<gossip::Input>) {
     for addr in addrs {
         report_verdict(addr, wire::Verdict::Healthy, view, gossip);
     }
 }
 
+/// Applies a verdict of this node and sends it to the membership task.
 fn report_verdict(
     addr: SocketAddr,
     verdict: wire::Verdict,
--- a/crates/oatcoved/src/proxy.rs
+++ b/crates/oatcoved/src/proxy.rs
@@ -2,15 +2,15 @@
 //!
 //! A call to `/s/{service}/{path}` is forwarded to an upstream of `service` as
 //! `/{path}`. The outcome reported to the caller is exact. It is `not-run` only
-//! if no upstream can have run the call: no connection was established, or each
-//! upstream refused it with 503 and `Retry-After`. It is `unknown` if bytes may
-//! have reached an upstream and no complete response was received. Once bytes
-//! may have reached an upstream, a call is retried only if the template lists
-//! its method as idempotent.
+//! if no upstream can have run the call: each one tried either did not receive
+//! enough of it to run it, or refused it with 503 and `Retry-After`. It is
+//! `unknown` if an upstream may have run the call and no complete response was
+//! received. A call that an upstream may have run is retried only if the
+//! template lists its method as idempotent.
 //!
 //! [`forward`] handles one call, [`attempt`] sends it to one upstream,
-//! [`response`] builds requests and responses, and [`crashes`] quarantines calls that
-//! crash upstreams.
+//! [`response`] builds requests and responses, and [`crashes`] quarantines calls
+//! that crash upstreams.
 
 mod attempt;
 mod crashes;
--- a/crates/oatcoved/src/proxy/attempt.rs
+++ b/crates/oatcoved/src/proxy/attempt.rs
@@ -54,8 +54,9 @@
 impl IdleConns {
     /// Sends `request` to `addr` and waits for the response for at most `remaining`.
     ///
-    /// The connection is kept unless `max_idle` are kept already. `on_response` is called with any
-    /// complete response.
+    /// The connection is kept for reuse unless the response asks to close it or `max_idle`
+    /// connections to `addr` are kept already. `on_response` is called with any complete response,
+    /// even if it belongs to another call.
     pub(super) async fn send(
         &self,
         addr: SocketAddr,
--- a/crates/oatcoved/src/proxy/crashes.rs
+++ b/crates/oatcoved/src/proxy/crashes.rs
@@ -14,9 +14,9 @@
 use super::Node;
 use crate::gossip;
 
-/// Timeout of the connection attempt that checks whether an upstream that lost a call has ended.
-/// The address of a process that has ended refuses a connection within a round trip, while an
-/// unreachable one does not respond at all.
+/// Timeout of the connection attempt that checks, after a response was lost, whether its upstream
+/// has ended. The address of a process that has ended refuses a connection within a round trip,
+/// while an unreachable one does not respond at all.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Counts a suspected call as running at an upstream until it is dropped.
@@ -50,8 +50,9 @@
 }
 
 impl Node {
-    /// Returns how a call is handled. Only the alive node with the lowest address runs the trial of
-    /// a call whose quarantine has expired.
+    /// Returns whether a call is allowed, isolated or rejected. Of the nodes that this node sees as
+    /// alive, only the one with the lowest address runs the trial of a call whose quarantine has
+    /// expired.
     pub(super) fn quarantine_decision(&self, call: &Call<'_>) -> Decision {
         let view = self.view.borrow();
         if view.quarantine.is_empty() {
@@ -199,8 +200,9 @@
     }
 }
 
-/// Returns the incarnation of the upstream at `addr`. It is the same after a restart, since the VM
-/// list does not show restarts. Repeated crashes are counted nevertheless.
+/// Returns the incarnation of the upstream at `addr` for crash detection and quarantine. Unlike
+/// [`crate::view::View::start_at`], it depends on the address only. It is the same after a restart,
+/// since the VM list does not show restarts. Repeated crashes are counted nevertheless.
 fn start_of(addr: SocketAddr) -> Start {
     Start::of(&addr.to_string(), 0)
 }
--- a/crates/oatcoved/src/proxy/forward.rs
+++ b/crates/oatcoved/src/proxy/forward.rs
@@ -21,9 +21,10 @@
 /// Minimum delay between a call and its hedge.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(5);
 
-/// Maximum number of upstreams tried for one call, including those that accept no connection. The
-/// latter do not count as attempts: otherwise, while crashed upstreams are still listed, one call
-/// in thirty meets two of them and is not run.
+/// Maximum number of upstreams tried for one call, including those that accept no connection,
+/// unless the template allows more attempts. Upstreams that accept no connection do not count as
+/// attempts: otherwise, while crashed upstreams are still listed, one call in thirty is sent to two
+/// of them and is not run.
 const MAX_UPSTREAMS_TRIED: usize = 4;
 
 /// A call is slow if it took more than this many times the baseline latency of
@@ -38,6 +39,7 @@
     request_id: HeaderValue,
     pub(super) service: SmolStr,
     path: &'a str,
+    /// Availability zone of this node.
     zone: SmolStr,
     params: Rc<config::Params>,
     /// Team whose share of the limiter the call uses; empty if the template does not list the team.
@@ -45,6 +47,7 @@
     deadline: Instant,
     /// Maximum number of connections of this node to one upstream.
     connection_share: u32,
+    /// Whether the template lists the call's method as idempotent.
     idempotent: bool,
     kind: balance::CallKind,
 }
@@ -64,7 +67,8 @@
 enum CallResult {
     /// An upstream responded.
     Answered(web::Response),
-    /// The call was not sent because it crashes upstreams. The caller may retry after this time.
+    /// No upstream ran the call, and it is not sent any more because it crashes upstreams. The
+    /// caller may retry after this time.
     Quarantined(Duration),
     /// Every attempt was refused or not sent.
     NotRun {
@@ -347,6 +351,7 @@
         allowed
     }
 
+    /// Sends the call to `addr`, and records the result for balancing, backpressure and quarantine.
     async fn attempt(&self, call: &Call<'_>, addr: SocketAddr) -> Attempt {
         let remaining = call.remaining();
         let request =
@@ -357,6 +362,8 @@
         let request_sent_at = Instant::now();
         let on_response = |response: &web::Response| {
             let signals = notices::read_signals(addr, response);
+            // A response without success need not carry all signals, so it ends neither a limit nor
+            // a backoff.
             let request_sent_at = response.status().is_success().then_some(request_sent_at);
             if self.view.borrow_mut().apply_signals(addr, &signals, request_sent_at) {
                 self.wake_gossip();
@@ -371,9 +378,9 @@
             }
             Attempt::Answered(_) => balance::Outcome::Answered,
             Attempt::Refused => balance::Outcome::Refused,
-            // The timeout of a caller with a short deadline is no evidence against the upstream:
-            // counted as failures, such timeouts would eject upstreams that serve all other
-            // callers.
+            // A timeout after less than half of the template's timeout is due to a short deadline
+            // of the caller and no evidence against the upstream: counted as failures, such
+            // timeouts would eject upstreams that serve all other callers.
             Attempt::Lost(web::Error::Timeout)
                 if 2 * elapsed < Duration::from_millis(call.params.timeout_ms) =>
             {
@@ -453,7 +460,8 @@
         (delay < call.remaining()).then_some(delay)
     }
 
-    /// Returns true if a call took several times the baseline latency of its kind.
+    /// Returns true if a call took more than [`SLOW_LATENCY_RATIO`] times the baseline latency of
+    /// its kind; false if the baseline is not known.
     fn was_slow(&self, call: &Call<'_>, elapsed: Duration) -> bool {
         let view = self.view.borrow();
         let pool = view.pools.get(&call.service);
@@ -461,7 +469,8 @@
         baseline.is_some_and(|baseline| elapsed > baseline.mul_f64(SLOW_LATENCY_RATIO))
     }
 
-    /// Returns how long the service is expected to stay busy: the mean latency of the call's kind.
+    /// Returns how long the service is expected to stay busy: the mean latency of the call's kind,
+    /// or zero if that is not known.
     fn expected_busy_time(&self, call: &Call<'_>) -> Duration {
         let view = self.view.borrow();
         let mean = view.pools.get(&call.service).and_then(|pool| pool.mean_latency(call.kind));
@@ -472,16 +481,16 @@
 /// Returns the maximum number of connections to an upstream for each of `entries` entry nodes.
 ///
 /// Upstreams reset connections beyond the number that they accept from all
-/// callers together, and a call cut that way may have run. A connection is
-/// opened only if none is idle, so a limit on outstanding calls limits the
-/// connections too.
+/// callers together, and a call whose connection is reset may have run. A
+/// connection is opened only if none is idle, so a limit on outstanding calls
+/// limits the connections too.
 fn connection_share(params: &config::Params, entries: usize) -> u32 {
     let share = params.connections_per_upstream / entries.max(1) as u64;
     u32::try_from(share.max(1)).unwrap_or(u32::MAX)
 }
 
-/// Returns the attempt whose result says more about the call: a response, then a possible run, then
-/// a refusal.
+/// Returns the attempt whose result says more about the call. The order is: a response, a server
+/// error, a possible run, a refusal, a call that was not sent.
 fn more_informative(a: Attempt, b: Attempt) -> Attempt {
     let rank = |attempt: &Attempt| match attempt {
         Attempt::Answered(response) if !is_upstream_failure(response) => 4,
--- a/crates/oatcoved/src/proxy/tests.rs
+++ b/crates/oatcoved/src/proxy/tests.rs
@@ -348,10 +348,10 @@
 #[test]
 fn claim_is_not_retried_after_a_reset_during_its_body() {
     web::runtime().block_on(async {
-        let cut = scripted_upstream(1_024, b"");
+        let resetting = scripted_upstream(1_024, b"");
         let (healthy, up) = upstream(upstream_config(1, 100));
         for index in 0..8 {
-            let node = node("service: svc\ndefaults:\n  max_attempts: 2\n", &[cut, healthy]);
+            let node = node("service: svc\ndefaults:\n  max_attempts: 2\n", &[resetting, healthy]);
             let key = format!("claim-{index}");
             let mut claim = request(http::Method::POST, "/s/svc/claim", &key);
             *claim.body_mut() = Bytes::from(vec![b'x'; 16 << 20]);
@@ -671,7 +671,7 @@
 
 /// Guards against outcome `not-run` while most upstreams are free: a call is sent to two upstreams
 /// that have crashed but are still listed. Upstreams that accept no connection must not count as
-/// attempts: they cannot have run the call, and trying another upstream is free.
+/// attempts: they cannot have run the call, so trying another upstream does no harm.
 #[test]
 fn upstreams_that_refuse_connections_do_not_count_as_attempts() {
     web::runtime().block_on(async {
--- a/crates/oatcoved/src/relay.rs
+++ b/crates/oatcoved/src/relay.rs
@@ -36,6 +36,7 @@
     peer.or_else(|| view.settings.seed_addrs.iter().copied().choose(rng))
 }
 
+/// Returns the address and the highest config commit of each alive peer.
 fn alive_peers(view: &View) -> impl Iterator<Item = (SocketAddr, proto::Version)> + '_ {
     let alive = view.peers.iter().filter(|(_, p)| p.standing == Some(wire::Standing::Alive));
     alive.map(|(addr, peer)| (*addr, peer.config_head))
--- a/crates/oatcoved/src/view.rs
+++ b/crates/oatcoved/src/view.rs
@@ -14,11 +14,11 @@
 pub struct Counters {
     /// Calls received for a service.
     pub calls: u64,
-    /// Calls answered by an upstream.
+    /// Calls to which an upstream responded.
     pub done: u64,
-    /// Calls answered `not-run`.
+    /// Calls with outcome `not-run`.
     pub not_run: u64,
-    /// Calls answered `unknown`.
+    /// Calls with outcome `unknown`.
     pub unknown: u64,
     /// Calls refused by this node because it was full.
     pub shed: u64,
@@ -269,7 +269,8 @@
     }
 
     fn apply_health_report(&mut self, upstream: SocketAddr) {
-        let worst = self.health_reports.get(&upstream).and_then(|by| by.values().max());
+        let worst =
+            self.health_reports.get(&upstream).and_then(|by_watcher| by_watcher.values().max());
         let health = match worst {
             Some(wire::Verdict::Draining) => balance::Health::Draining,
             Some(wire::Verdict::Failing) => balance::Health::Failing,
@@ -310,7 +311,11 @@
             node_id: self.settings.node_id.clone(),
             zone: self.settings.zone.clone(),
             config_head: self.config_head,
-            templates: self.templates.iter().map(|(s, h)| (s.clone(), h.version)).collect(),
+            templates: self
+                .templates
+                .iter()
+                .map(|(service, loaded)| (service.clone(), loaded.version))
+                .collect(),
             peers: self
                 .peers
                 .iter()
