--- a/crates/oatcoved/src/proxy/tests.rs
+++ b/crates/oatcoved/src/proxy/tests.rs
@@ -120,12 +120,13 @@
         let started_at = Instant::now();
         let served = call_all(&nodes, method, started_at + LIMIT_APPLY_TIME + 2 * WINDOW).await;
         let from = limited.arrivals()[0] + LIMIT_APPLY_TIME;
-        let at: Vec<Instant> = limited.arrivals().into_iter().filter(|at| *at >= from).collect();
+        let arrivals: Vec<Instant> =
+            limited.arrivals().into_iter().filter(|at| *at >= from).collect();
         let within =
-            |from: Instant| at.iter().filter(move |at| **at >= from && **at < from + WINDOW);
-        let most = at.iter().map(|begin| within(*begin).count()).max().unwrap_or(0);
-        assert!(most <= MAX_CALLS, "{most} calls");
-        assert!(at.len() >= 4, "less than half of the limit is used: {}", at.len());
+            |from: Instant| arrivals.iter().filter(move |at| **at >= from && **at < from + WINDOW);
+        let max_count = arrivals.iter().map(|begin| within(*begin).count()).max().unwrap_or(0);
+        assert!(max_count <= MAX_CALLS, "{max_count} calls");
+        assert!(arrivals.len() >= 4, "less than half of the limit is used: {}", arrivals.len());
         assert!(served > 1_000, "the other calls must be served by the other upstream: {served}");
     });
 }
@@ -263,8 +264,8 @@
     });
 }
 
-/// Guards against outcome `unknown` for a call that no upstream ran, after which the caller does
-/// not dare to retry. All upstreams shed calls or accept no connections.
+/// Guards against outcome `unknown` for a call that no upstream ran, after which the caller
+/// cannot safely retry. All upstreams shed calls or accept no connections.
 #[test]
 fn call_that_no_upstream_ran_is_not_run_with_retry_after() {
     web::runtime().block_on(async {
--- a/crates/oatcoved/src/view.rs
+++ b/crates/oatcoved/src/view.rs
@@ -61,8 +61,9 @@
     pub config_head: proto::Version,
 }
 
-/// Why an entry node is isolated from its peers although it should not be. It does not receive
-/// their findings, and computes its shares of limits and probes as if it were the only node.
+/// Why an entry node is isolated from its peers although it should not be. An isolated node does
+/// not receive their findings, and computes its shares of limits and probes as if it were the only
+/// node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Isolation {
