--- a/crates/oatcoved/src/proxy/tests.rs
+++ b/crates/oatcoved/src/proxy/tests.rs
@@ -120,12 +120,13 @@
         let started_at = Instant::now();
         let served = call_all(&nodes, method, started_at + LIMIT_APPLY_TIME + 2 * WINDOW).await;
         let from = limited.arrivals()[0] + LIMIT_APPLY_TIME;
-        let at: Vec<Instant> = limited.arrivals().into_iter().filter(|at| *at >= from).collect();
+        let arrivals: Vec<Instant> =
+            limited.arrivals().into_iter().filter(|at| *at >= from).collect();
         let within =
-            |from: Instant| at.iter().filter(move |at| **at >= from && **at < from + WINDOW);
-        let most = at.iter().map(|begin| within(*begin).count()).max().unwrap_or(0);
-        assert!(most <= MAX_CALLS, "{most} calls");
-        assert!(at.len() >= 4, "less than half of the limit is used: {}", at.len());
+            |from: Instant| arrivals.iter().filter(move |at| **at >= from && **at < from + WINDOW);
+        let max_count = arrivals.iter().map(|begin| within(*begin).count()).max().unwrap_or(0);
+        assert!(max_count <= MAX_CALLS, "{max_count} calls");
+        assert!(arrivals.len() >= 4, "less than half of the limit is used: {}", arrivals.len());
         assert!(served > 1_000, "the other calls must be served by the other upstream: {served}");
     });
 }
@@ -263,8 +264,8 @@
     });
 }
 
-/// Guards against outcome `unknown` for a call that no upstream ran, after which the caller does
-/// not dare to retry. All upstreams shed calls or accept no connections.
+/// Guards against outcome `unknown` for a call that no upstream ran, after which the caller
+/// cannot safely retry. All upstreams shed calls or accept no connections.
 #[test]
 fn call_that_no_upstream_ran_is_not_run_with_retry_after() {
     web::runtime().block_on(async {
@@ -348,10 +349,10 @@
 #[test]
 fn claim_is_not_retried_after_a_reset_during_its_body() {
     web::runtime().block_on(async {
-        let cut = scripted_upstream(1_024, b"");
+        let resetting = scripted_upstream(1_024, b"");
         let (healthy, up) = upstream(upstream_config(1, 100));
         for index in 0..8 {
-            let node = node("service: svc\ndefaults:\n  max_attempts: 2\n", &[cut, healthy]);
+            let node = node("service: svc\ndefaults:\n  max_attempts: 2\n", &[resetting, healthy]);
             let key = format!("claim-{index}");
             let mut claim = request(http::Method::POST, "/s/svc/claim", &key);
             *claim.body_mut() = Bytes::from(vec![b'x'; 16 << 20]);
@@ -671,7 +672,7 @@
 
 /// Guards against outcome `not-run` while most upstreams are free: a call is sent to two upstreams
 /// that have crashed but are still listed. Upstreams that accept no connection must not count as
-/// attempts: they cannot have run the call, and trying another upstream is free.
+/// attempts: they cannot have run the call, so trying another upstream does no harm.
 #[test]
 fn upstreams_that_refuse_connections_do_not_count_as_attempts() {
     web::runtime().block_on(async {
